--- a/src/test/java/org/cypressweir/sidecar/CellsLoopbackTest.java
+++ b/src/test/java/org/cypressweir/sidecar/CellsLoopbackTest.java
@@ -39,7 +39,7 @@
 import org.cypressweir.sidecar.cell.CellAssignment;
 import org.cypressweir.sidecar.cell.CellsConfiguration.Spread;
 import org.cypressweir.sidecar.cell.Placement;
-import org.cypressweir.testkit.CellPlans;
+import org.cypressweir.testkit.CellConfigurations;
 import org.cypressweir.testkit.PeerStub;
 import org.cypressweir.testkit.RawHttpClient;
 import org.cypressweir.testkit.WebSocketClient;
@@ -50,13 +50,13 @@
 @Timeout(60)
 class CellsLoopbackTest extends Loopback {
 
-    private static final List<Cell> CELLS = CellPlans.cells(3);
+    private static final List<Cell> CELLS = CellConfigurations.cells(3);
     private static final String NAMES = "names = [\"c0\", \"c1\", \"c2\"]\nby = \"header:X-Account\"\n";
 
     private Harness harness;
     private final List<PeerStub> servers = new ArrayList<>();
     /** Requests that the servers have received, in tests whose script records them. */
-    private final BlockingQueue<PeerStub.Seen> arrived = new LinkedBlockingQueue<>();
+    private final BlockingQueue<PeerStub.ReceivedRequest> arrived = new LinkedBlockingQueue<>();
 
     private static String accountOf(int cell, int skip) {
         BitSet open = new BitSet();
@@ -130,8 +130,8 @@
                 + Instant.now().minusSeconds(1) + "\n" + more;
     }
 
-    private PeerStub.Seen takeArrived() throws InterruptedException {
-        PeerStub.Seen seen = arrived.poll(10, TimeUnit.SECONDS);
+    private PeerStub.ReceivedRequest takeArrived() throws InterruptedException {
+        PeerStub.ReceivedRequest seen = arrived.poll(10, TimeUnit.SECONDS);
         assertTrue(seen != null, "no request came");
         return seen;
     }
@@ -155,7 +155,7 @@
         }
         int seen = 0;
         for (PeerStub s : servers) {
-            for (PeerStub.Seen request : s.seen) {
+            for (PeerStub.ReceivedRequest request : s.received) {
                 String account = request.request().headers().get("X-Account");
                 assertTrue(List.of(
                                 accountOf(cellOf.get(s), 0),
@@ -211,7 +211,7 @@
         for (int cell = 1; cell < 3; cell++) {
             for (PeerStub s : serversOfCell(cell)) {
                 assertTrue(
-                        s.seen.stream().noneMatch(r -> r.request().body().startsWith("h")),
+                        s.received.stream().noneMatch(r -> r.request().body().startsWith("h")),
                         "a request of the hanging cell reached another cell");
             }
         }
@@ -300,7 +300,7 @@
     private void awaitSeen(int cell, String account) throws InterruptedException {
         List<Integer> ports = serversOfCell(cell).stream().map(PeerStub::port).toList();
         arrived.clear();
-        for (PeerStub.Seen seen; (seen = arrived.poll(20, TimeUnit.SECONDS)) != null; ) {
+        for (PeerStub.ReceivedRequest seen; (seen = arrived.poll(20, TimeUnit.SECONDS)) != null; ) {
             if (ports.contains(seen.socket().getLocalPort())
                     && account.equals(seen.request().headers().get("X-Account"))) {
                 return;
@@ -315,7 +315,7 @@
         String account = accountOf(0, 0);
         sidecar(6, arrived::add, "");
         Harness.Client first = harness.client().raw(book(account, "first"));
-        PeerStub.Seen running = takeArrived();
+        PeerStub.ReceivedRequest running = takeArrived();
         harness.reload(file(move(account, 1, "fence = \"750ms\"\n")));
         // The process cannot know of writes from before the move was ordered, until those must have ended.
         for (PeerStub s : serversOfCell(0)) {
@@ -352,7 +352,7 @@
         assertEquals(200, client.raw(search(account)).answer().status());
         assertEquals(200, client.raw(book(accountOf(2, 0), "x")).answer().status());
         for (PeerStub s : serversOfCell(0)) {
-            assertTrue(s.seen.isEmpty());
+            assertTrue(s.received.isEmpty());
         }
     }
 
@@ -376,13 +376,13 @@
                             .answer()
                             .status());
         }
-        assertTrue(gone.seen.isEmpty());
+        assertTrue(gone.received.isEmpty());
         assertFalse(serversOfCell(0).equals(before));
         Set<PeerStub> all = new HashSet<>();
         for (int c = 0; c < 3; c++) {
             for (PeerStub s : serversOfCell(c)) {
                 assertTrue(all.add(s));
-                for (PeerStub.Seen seen : s.seen) {
+                for (PeerStub.ReceivedRequest seen : s.received) {
                     String account = seen.request().headers().get("X-Account");
                     int cell = c;
                     assertTrue(
@@ -400,7 +400,7 @@
     void cellsAreAddedAndRemovedDuringARequest() throws Exception {
         sidecar(8, arrived::add, "");
         Harness.Client client = harness.client().raw(book(accountOf(2, 0), "kept"));
-        PeerStub.Seen running = takeArrived();
+        PeerStub.ReceivedRequest running = takeArrived();
         harness.reload(file("").replace("\"c2\"]", "\"c2\", \"c3\"]"));
         harness.reload(file("").replace("[\"c0\", ", "["));
         harness.reload(file("").replace("[pools.p.cells]\n" + NAMES, ""));
@@ -432,11 +432,11 @@
     /** Sends the sidecar a change and waits until it has applied it and watches again. */
     private void publish(int revision, String state, PeerStub... changed) throws Exception {
         harness.discovery.take().reply("200 OK", "", Harness.json(Harness.list(revision, false, state, changed)));
-        PeerStub.Seen again = harness.discovery.take();
+        PeerStub.ReceivedRequest again = harness.discovery.take();
         assertTrue(
-                again.request().first().contains("from=" + revision),
-                again.request().first());
-        harness.discovery.seen.add(again);
+                again.request().firstLine().contains("from=" + revision),
+                again.request().firstLine());
+        harness.discovery.received.add(again);
     }
 
     /** A drain is respected in a cell as in a pool, and a cell without servers uses none of another cell. */
@@ -451,8 +451,8 @@
             assertEquals(
                     200, harness.client().raw(book(account, "d" + i)).answer().status());
         }
-        assertTrue(own.get(0).seen.isEmpty(), "a draining server was sent something");
-        assertEquals(20, own.get(1).seen.size());
+        assertTrue(own.get(0).received.isEmpty(), "a draining server was sent something");
+        assertEquals(20, own.get(1).received.size());
         publish(3, "terminating", own.get(1));
         int status = harness.client().raw(book(account, "none")).answer().status();
         assertTrue(status == 503 || status == 502 || status == 504, "status " + status);
@@ -461,7 +461,7 @@
                     200,
                     harness.client().raw(book(accountOf(cell, 0), "o")).answer().status());
             for (PeerStub s : serversOfCell(cell)) {
-                assertTrue(s.seen.stream()
+                assertTrue(s.received.stream()
                         .noneMatch(r -> account.equals(r.request().headers().get("X-Account"))));
             }
         }
@@ -492,7 +492,7 @@
             publish(revision++, "in_service", restarted);
         }
         for (PeerStub s : servers) {
-            for (PeerStub.Seen seen : s.seen) {
+            for (PeerStub.ReceivedRequest seen : s.received) {
                 assertEquals(
                         accountOf(cellOf.get(s), 1), seen.request().headers().get("X-Account"));
             }
@@ -538,13 +538,13 @@
         String account = accountOf(0, 0);
         sidecar(6, arrived::add, "");
         harness.client().raw(book(account, "running"));
-        PeerStub.Seen running = takeArrived();
+        PeerStub.ReceivedRequest running = takeArrived();
         harness.reload(file(move(account, 1, "fence = \"750ms\"\n")));
         Harness.Client second = harness.client().raw(book(account, "second"));
         CountDownLatch ended = harness.stop();
         servers.forEach(s -> s.script(PeerStub.serves("ok")));
         for (PeerStub s : servers) {
-            s.seen.forEach(seen -> {
+            s.received.forEach(seen -> {
                 if (seen.request().body().equals("second")) {
                     reply(seen);
                 }
@@ -556,7 +556,7 @@
         assertTrue(ended.await(10, TimeUnit.SECONDS));
     }
 
-    private static void reply(PeerStub.Seen seen) {
+    private static void reply(PeerStub.ReceivedRequest seen) {
         try {
             seen.reply("200 OK", "", "ok");
         } catch (IOException e) {
--- a/src/test/java/org/cypressweir/sidecar/ClosingTest.java
+++ b/src/test/java/org/cypressweir/sidecar/ClosingTest.java
@@ -83,11 +83,11 @@
             awaitQuietly(release);
             loop.execute(endOfTurn);
         }
-        client.answer(HttpResponseStatus.OK, new DefaultHttpHeaders(), Unpooled.EMPTY_BUFFER);
+        client.respond(HttpResponseStatus.OK, new DefaultHttpHeaders(), Unpooled.EMPTY_BUFFER);
     }
 
     @Override
-    public void left(ClientRequest.Client client) {}
+    public void clientLeft(ClientRequest.Client client) {}
 
     private static void awaitQuietly(CountDownLatch latch) {
         try {
--- a/src/test/java/org/cypressweir/sidecar/DailyTest.java
+++ b/src/test/java/org/cypressweir/sidecar/DailyTest.java
@@ -53,7 +53,7 @@
     }
 
     private String command(String line) throws IOException {
-        return Harness.call(adminAddress, line);
+        return Harness.adminCommand(adminAddress, line);
     }
 
     /** Waits until the statistics contain this text; they may lag behind. */
@@ -120,7 +120,7 @@
         Harness.Client busy = harness.client().book("x", 20_000);
         Harness.Client silent = harness.client();
         server.take();
-        PeerStub.Seen pending = server.take();
+        PeerStub.ReceivedRequest pending = server.take();
         assertEquals("YES draining\n", command("DRAIN"));
         assertEquals("YES draining\n", command("DRAIN"));
         assertEquals(503, health());
@@ -195,7 +195,7 @@
         String good = Files.readString(harness.file);
         server.script(PeerStub.SILENT);
         Harness.Client old = harness.client().search(20_000);
-        PeerStub.Seen first = server.take();
+        PeerStub.ReceivedRequest first = server.take();
         // The class that was safe to retry becomes non-idempotent under another name, and only one attempt is allowed.
         reload(good.replace("\"name\":\"search\",\"effect\":\"pure\"", "\"name\":\"find\",\"effect\":\"side_effect\"")
                 .replace("\"attempts_cap\":4", "\"attempts_cap\":1"));
--- a/src/test/java/org/cypressweir/sidecar/QuietFleet.java
+++ b/src/test/java/org/cypressweir/sidecar/FleetHarness.java
@@ -21,7 +21,7 @@
 import org.cypressweir.testkit.RawHttpClient;
 
 /** Many real sidecars in one process, on loopback, that share servers and a discovery service. */
-final class QuietFleet implements AutoCloseable {
+final class FleetHarness implements AutoCloseable {
 
     /** All instances may connect at the same time, which is the case under test. */
     private static final int BACKLOG = 4_000;
@@ -40,7 +40,7 @@
     private final String fleet;
 
     /** @param fleet the table {@code [fleet]} of the operators' file; empty for none */
-    QuietFleet(Path folder, int instances, int serverCount, int threads, String fleet) throws IOException {
+    FleetHarness(Path folder, int instances, int serverCount, int threads, String fleet) throws IOException {
         this.folder = folder;
         this.instances = instances;
         this.fleet = fleet;
@@ -49,8 +49,8 @@
                 seen -> {
                     calls.add(System.nanoTime());
                     // A long poll waits for changes, of which there are none; a plain call gets a response.
-                    if (!seen.request().first().contains("hold_ms=20000")) {
-                        seen.reply("200 OK", "", Harness.json(Harness.NOTHING_NEW));
+                    if (!seen.request().firstLine().contains("hold_ms=20000")) {
+                        seen.reply("200 OK", "", Harness.json(Harness.EMPTY_UPDATE));
                     }
                 },
                 BACKLOG);
@@ -84,7 +84,7 @@
                     file,
                     text.replace("\"zone\":0", "\"rank\":" + i + ",\"replicas_of_me\":" + instances + ",\"zone\":0"));
             SidecarConfiguration config = SidecarConfiguration.read(Map.of("LB_CONFIG", file.toString()));
-            Layout.Factory layouts = OperatorsLayout.of(operators, config).layouts();
+            Layout.Factory layouts = OperatorFileLayout.load(operators, config).layouts();
             EventLoop loop = group.next();
             loops.add(loop);
             sidecars.add(loop.submit(() -> new Sidecar(loop, config, log, SubsetLoadBalancer::new, layouts))
@@ -97,7 +97,7 @@
     }
 
     /** Sends one request to each instance, from this many clients in parallel; returns how many were served. */
-    int askAll(int clients) throws Exception {
+    int requestFromAll(int clients) throws Exception {
         List<Thread> threads = new ArrayList<>();
         ConcurrentLinkedQueue<Integer> served = new ConcurrentLinkedQueue<>();
         for (int c = 0; c < clients; c++) {
@@ -129,7 +129,7 @@
     }
 
     /** The highest number of open connections at one server. */
-    int connectionsPeak() {
+    int maxConnectionsPerServer() {
         return servers.stream()
                 .mapToInt(s -> s.accepted.get() - s.ended.size())
                 .max()
@@ -137,7 +137,7 @@
     }
 
     /** Open connections at discovery. */
-    int watches() {
+    int discoveryConnections() {
         return discovery.accepted.get() - discovery.ended.size();
     }
 
@@ -146,7 +146,7 @@
     }
 
     /** The highest number of calls for the list within one second. */
-    int callsPeak() {
+    int maxCallsPerSecond() {
         List<Long> times = new ArrayList<>(calls);
         times.sort(null);
         int peak = 0;
@@ -164,7 +164,7 @@
     boolean awaitCalls(int count, long millis) throws InterruptedException {
         long end = System.nanoTime() + millis * 1_000_000;
         while (calls.size() < count && System.nanoTime() < end) {
-            discovery.seen.poll(Math.max(1, (end - System.nanoTime()) / 1_000_000), TimeUnit.MILLISECONDS);
+            discovery.received.poll(Math.max(1, (end - System.nanoTime()) / 1_000_000), TimeUnit.MILLISECONDS);
         }
         return calls.size() >= count;
     }
--- a/src/test/java/org/cypressweir/sidecar/FleetShareTest.java
+++ b/src/test/java/org/cypressweir/sidecar/FleetShareTest.java
@@ -36,15 +36,15 @@
         PeerStub one = server(PeerStub.serves("one"));
         harness = new Harness(folder, one);
         open.add(harness);
-        harness.discovery.script(seen -> seen.reply("200 OK", "", Harness.json(Harness.NOTHING_NEW)));
+        harness.discovery.script(seen -> seen.reply("200 OK", "", Harness.json(Harness.EMPTY_UPDATE)));
         harness.startWith("version = 1\n[fleet]\ninstances = 4\nlist_rate = 10\n" + ROUTES);
         List<Long> at = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            PeerStub.Seen call = harness.discovery.take();
+            PeerStub.ReceivedRequest call = harness.discovery.take();
             at.add(System.nanoTime());
             assertTrue(
-                    call.request().first().endsWith("&hold_ms=0 HTTP/1.1"),
-                    call.request().first());
+                    call.request().firstLine().endsWith("&hold_ms=0 HTTP/1.1"),
+                    call.request().firstLine());
             harness.discovery.awaitEnd();
         }
         // Slots are 400 ms apart: six calls span five of them, though each may be late on a slow machine.
@@ -81,23 +81,23 @@
     void reloadSwitchesBetweenWatchAndPolling() throws Exception {
         PeerStub one = server(PeerStub.serves("one"));
         sidecar("", one);
-        PeerStub.Seen watch = harness.discovery.take();
+        PeerStub.ReceivedRequest watch = harness.discovery.take();
         assertTrue(
-                watch.request().first().contains("hold_ms=20000"),
-                watch.request().first());
-        harness.discovery.script(seen -> seen.reply("200 OK", "", Harness.json(Harness.NOTHING_NEW)));
+                watch.request().firstLine().contains("hold_ms=20000"),
+                watch.request().firstLine());
+        harness.discovery.script(seen -> seen.reply("200 OK", "", Harness.json(Harness.EMPTY_UPDATE)));
         harness.reload("version = 1\n[fleet]\ninstances = 2\nlist_rate = 20\n" + ROUTES);
         harness.discovery.awaitEnd();
-        assertTrue(harness.discovery.take().request().first().contains("hold_ms=0"));
+        assertTrue(harness.discovery.take().request().firstLine().contains("hold_ms=0"));
         harness.discovery.script(seen -> {});
         harness.reload("version = 1\n" + ROUTES);
-        PeerStub.Seen again = harness.discovery.take();
-        while (again.request().first().contains("hold_ms=0")) {
+        PeerStub.ReceivedRequest again = harness.discovery.take();
+        while (again.request().firstLine().contains("hold_ms=0")) {
             again = harness.discovery.take();
         }
         assertTrue(
-                again.request().first().contains("hold_ms=20000"),
-                again.request().first());
+                again.request().firstLine().contains("hold_ms=20000"),
+                again.request().firstLine());
     }
 
     /** With a limit of no idle connections each response closes its connection; without a limit it is kept. */
@@ -125,7 +125,7 @@
     @Test
     void probeRateLimitHolds() throws Exception {
         PeerStub.Script script = seen -> {
-            if (seen.request().first().startsWith("GET /load ")) {
+            if (seen.request().firstLine().startsWith("GET /load ")) {
                 seen.reply("200 OK", "", "TEXT active=3, cpu=0.2");
             } else {
                 seen.reply("200 OK", "", "ok");
@@ -157,8 +157,8 @@
     }
 
     private static long probes(PeerStub server) {
-        return server.seen.stream()
-                .filter(s -> s.request().first().startsWith("GET /load "))
+        return server.received.stream()
+                .filter(s -> s.request().firstLine().startsWith("GET /load "))
                 .count();
     }
 }
--- a/src/test/java/org/cypressweir/sidecar/FleetStartupLoadTest.java
+++ b/src/test/java/org/cypressweir/sidecar/FleetStartupLoadTest.java
@@ -22,7 +22,7 @@
     void limitsHoldWhenAllInstancesStartAtOnce() throws Exception {
         int rate = 40;
         int idle = 10;
-        try (QuietFleet fleet = new QuietFleet(
+        try (FleetHarness fleet = new FleetHarness(
                 folder,
                 INSTANCES,
                 SERVERS,
@@ -32,25 +32,25 @@
             // Two rounds of four seconds, whatever else the instances did meanwhile.
             assertTrue(fleet.awaitCalls(2 * INSTANCES, 30_000), "only " + fleet.calls() + " calls");
             // A stalled machine runs late timers together; the slots themselves are tested elsewhere.
-            assertTrue(fleet.callsPeak() <= rate * 5 / 2, "calls in one second: " + fleet.callsPeak());
+            assertTrue(fleet.maxCallsPerSecond() <= rate * 5 / 2, "calls in one second: " + fleet.maxCallsPerSecond());
             for (int round = 0; round < 3; round++) {
-                assertEquals(INSTANCES, fleet.askAll(8));
+                assertEquals(INSTANCES, fleet.requestFromAll(8));
             }
             // A server closes its end once it has seen the sidecar close; a few of these are still in transit.
             assertTrue(fleet.connections() <= SERVERS * idle + 40, "open connections: " + fleet.connections());
-            assertTrue(fleet.watches() <= rate, "open at discovery: " + fleet.watches());
+            assertTrue(fleet.discoveryConnections() <= rate, "open at discovery: " + fleet.discoveryConnections());
         }
     }
 
     /** Without limits all instances poll at once and keep their connections, which is what the limits prevent. */
     @Test
     void withoutLimitsAllInstancesPollAtOnce() throws Exception {
-        try (QuietFleet fleet = new QuietFleet(folder, INSTANCES, SERVERS, 2, "")) {
+        try (FleetHarness fleet = new FleetHarness(folder, INSTANCES, SERVERS, 2, "")) {
             fleet.start();
             assertTrue(fleet.awaitCalls(INSTANCES, 15_000), "only " + fleet.calls() + " calls");
-            assertEquals(INSTANCES, fleet.watches());
+            assertEquals(INSTANCES, fleet.discoveryConnections());
             for (int round = 0; round < 3; round++) {
-                assertEquals(INSTANCES, fleet.askAll(8));
+                assertEquals(INSTANCES, fleet.requestFromAll(8));
             }
             assertTrue(fleet.connections() >= INSTANCES, "open connections: " + fleet.connections());
         }
--- a/src/test/java/org/cypressweir/sidecar/GoldenSharedFilesTest.java
+++ b/src/test/java/org/cypressweir/sidecar/GoldenSharedFilesTest.java
@@ -57,7 +57,7 @@
     /** Two builds on one machine have to know of each other. */
     @Test
     void nameOfTheLockFile() throws IOException {
-        assertThat(ProcessLock.in(folder.toString()).alone()).isTrue();
+        assertThat(ProcessLock.in(folder.toString()).tryAcquire()).isTrue();
         try (var files = Files.list(folder)) {
             assertThat(files.map(file -> file.getFileName().toString())).containsExactly(LOCK_FILE);
         }
--- a/src/test/java/org/cypressweir/sidecar/Harness.java
+++ b/src/test/java/org/cypressweir/sidecar/Harness.java
@@ -23,15 +23,15 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Settings;
 import org.cypressweir.loadbalancing.SubsetLoadBalancer;
 import org.cypressweir.sidecar.websocket.UpgradeAccount.Counters;
-import org.cypressweir.testkit.Configs;
 import org.cypressweir.testkit.PeerStub;
 import org.cypressweir.testkit.RawHttpClient;
+import org.cypressweir.testkit.SidecarConfigurations;
 import org.junit.jupiter.api.Assertions;
 
 /** A sidecar on free loopback ports with scripted servers, a scripted discovery service and raw clients. */
 final class Harness implements AutoCloseable {
 
-    static final String NOTHING_NEW = "{'rev':1,'all':false,'targets':[]}";
+    static final String EMPTY_UPDATE = "{'rev':1,'all':false,'targets':[]}";
 
     final PeerStub discovery;
     final EventLoop loop;
@@ -41,7 +41,7 @@
     final Path file;
     private final Path folder;
     Sidecar sidecar;
-    private OperatorsLayout layout;
+    private OperatorFileLayout layout;
     InetSocketAddress address;
 
     Harness(Path folder, PeerStub... servers) throws Exception {
@@ -56,15 +56,16 @@
         file = folder.resolve("config.json");
         Files.writeString(
                 file,
-                Configs.of("n0", 0, discovery.port(), sockets, connectMicros, list(1, true, "in_service", servers)));
+                SidecarConfigurations.of(
+                        "n0", 0, discovery.port(), sockets, connectMicros, list(1, true, "in_service", servers)));
     }
 
     static String json(String quoted) {
-        return Configs.json(quoted);
+        return SidecarConfigurations.json(quoted);
     }
 
     static String list(int revision, boolean all, String state, PeerStub... servers) {
-        return Configs.list(revision, all, state, servers);
+        return SidecarConfigurations.list(revision, all, state, servers);
     }
 
     SidecarConfiguration config() throws IOException {
@@ -92,9 +93,9 @@
         Path file = folder.resolve("operators.toml");
         Files.writeString(file, operators);
         SidecarConfiguration config = config();
-        Layout.Factory factory = OperatorsLayout.of(file, config).layouts();
+        Layout.Factory factory = OperatorFileLayout.load(file, config).layouts();
         Layout.Factory layouts = parts -> {
-            layout = (OperatorsLayout) factory.create(parts);
+            layout = (OperatorFileLayout) factory.create(parts);
             return layout;
         };
         sidecar = loop.submit(() -> new Sidecar(loop, config, new PrintStream(log, true), modules, layouts))
@@ -119,7 +120,7 @@
     }
 
     /** Sends one command to an admin listener and returns the complete response. */
-    static String call(InetSocketAddress address, String line) throws IOException {
+    static String adminCommand(InetSocketAddress address, String line) throws IOException {
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.setSoTimeout(10_000);
             socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
--- a/src/test/java/org/cypressweir/sidecar/LargeEndpointListTest.java
+++ b/src/test/java/org/cypressweir/sidecar/LargeEndpointListTest.java
@@ -35,7 +35,7 @@
     private record Update(ListKind kind, List<Server> list) {}
 
     /** Records the server updates it receives, and subscribes to discovery. */
-    private static final class RecordingLoadBalancer extends QuietModule {
+    private static final class RecordingLoadBalancer extends NoOpLoadBalancer {
         private final BlockingQueue<Update> updates = new LinkedBlockingQueue<>();
         private Actions actions;
 
@@ -120,7 +120,7 @@
     void oversizedListIsLoggedAndOldListKept() throws Exception {
         try (PeerStub known = new PeerStub(PeerStub.serves("ok"));
                 Harness harness = new Harness(folder, known).start()) {
-            PeerStub.Seen asked = harness.discovery.take();
+            PeerStub.ReceivedRequest asked = harness.discovery.take();
             asked.raw("HTTP/1.1 200 OK\r\nContent-Length: " + (Discovery.MAX_LIST_BYTES + 1) + "\r\n\r\n{");
             harness.discovery.awaitEnd();
             assertEquals(200, harness.client().search(2_000).answer().status());
@@ -149,7 +149,7 @@
     void largeListIsAppliedAlthoughConnectionCloses() throws Exception {
         try (Harness harness = new Harness(folder)) {
             RecordingLoadBalancer module = start(harness);
-            PeerStub.Seen asked = harness.discovery.take();
+            PeerStub.ReceivedRequest asked = harness.discovery.take();
             asked.reply("200 OK", "Connection: close\r\n", list(7, true, 0, SERVER_COUNT));
             asked.socket().close();
             int received = 0;
--- a/src/test/java/org/cypressweir/sidecar/LargeMessagesTest.java
+++ b/src/test/java/org/cypressweir/sidecar/LargeMessagesTest.java
@@ -84,7 +84,8 @@
     }
 
     /** Sends a response in one of the framings, in chunks of odd lengths. */
-    private static void answer(PeerStub.Seen seen, String framing, byte[] body, int count) throws IOException {
+    private static void answer(PeerStub.ReceivedRequest seen, String framing, byte[] body, int count)
+            throws IOException {
         OutputStream out = seen.socket().getOutputStream();
         seen.raw(head(
                 switch (framing) {
@@ -233,7 +234,7 @@
     @ValueSource(strings = {"length", "chunked", "expect"})
     void largeRequestIsBufferedAndRetried(String framing) throws Exception {
         byte[] body = bytes(LARGE);
-        harness.loop.submit(() -> harness.sidecar.listed(list())).get();
+        harness.loop.submit(() -> harness.sidecar.listReceived(list())).get();
         AtomicBoolean rejectedOnce = new AtomicBoolean();
         PeerStub.Script once =
                 seen -> seen.reply(rejectedOnce.getAndSet(true) ? "200 OK" : "503 Full", "Not-Started: 1\r\n", "");
@@ -286,7 +287,7 @@
             served += status == 200 ? 1 : 0;
         }
         assertTrue(served >= 1, "none was served");
-        assertEquals(served, server.seen.size());
+        assertEquals(served, server.received.size());
         for (int i = 0; i < served; i++) {
             assertArrayEquals(body, received(server.take().request()));
         }
--- a/src/test/java/org/cypressweir/sidecar/QuietModule.java
+++ b/src/test/java/org/cypressweir/sidecar/NoOpLoadBalancer.java
@@ -4,7 +4,7 @@
 import org.cypressweir.loadbalancing.LoadBalancer;
 
 /** A load balancer that does nothing; tests override the events that they observe. */
-class QuietModule implements LoadBalancer {
+class NoOpLoadBalancer implements LoadBalancer {
     @Override
     public void servers(long nowMicros, ListKind kind, List<Server> list) {}
 
--- a/src/test/java/org/cypressweir/sidecar/OperatorsLayoutTest.java
+++ b/src/test/java/org/cypressweir/sidecar/OperatorFileLayoutTest.java
@@ -35,7 +35,7 @@
 
 /** Tests a sidecar with an operators' file over real sockets. */
 @Timeout(60)
-class OperatorsLayoutTest extends Loopback {
+class OperatorFileLayoutTest extends Loopback {
 
     private Harness harness;
 
@@ -103,11 +103,11 @@
                 + "\r\nTenant: acme\r\nRequest-Timeout-Ms: 2000\r\nContent-Length: 1\r\n\r\nx";
         assertEquals("two", harness.client().raw(head).answer().body());
         RawHttpClient.Message seen = two.take().request();
-        assertEquals("POST " + sent + " HTTP/1.1", seen.first());
+        assertEquals("POST " + sent + " HTTP/1.1", seen.firstLine());
         assertEquals(
                 target.startsWith("http") ? "a.example.org" : "other",
                 seen.headers().get("Host"));
-        assertTrue(one.seen.isEmpty());
+        assertTrue(one.received.isEmpty());
     }
 
     @ParameterizedTest
@@ -125,7 +125,7 @@
         assertEquals(
                 400,
                 harness.client().raw(search(target.strip(), fields)).answer().status());
-        assertTrue(one.seen.isEmpty());
+        assertTrue(one.received.isEmpty());
     }
 
     @Test
@@ -167,11 +167,11 @@
         sidecar(pool("p", "", one, two) + route("search", "p", "attempts = 2\nhedges = 1\nhedge_after = \"50ms\"\n"));
         Harness.Client client = harness.client().search(2_000);
         // Each server has an attempt before either has responded.
-        PeerStub.Seen slow = one.take();
+        PeerStub.ReceivedRequest slow = one.take();
         two.take().reply("200 OK", "", "copy");
         assertEquals("copy", client.answer().body());
         one.awaitEnd();
-        assertEquals("GET /search/k1 HTTP/1.1", slow.request().first());
+        assertEquals("GET /search/k1 HTTP/1.1", slow.request().firstLine());
         assertEquals(2, one.accepted.get() + two.accepted.get());
         one.script(PeerStub.serves("next"));
         two.script(PeerStub.serves("next"));
@@ -188,7 +188,7 @@
                 + route("book", "p", ""));
         Harness.Client client = harness.client().book("x", 400);
         assertEquals(504, client.answer().status());
-        assertEquals(1, one.seen.size() + two.seen.size());
+        assertEquals(1, one.received.size() + two.received.size());
     }
 
     @Test
@@ -218,7 +218,7 @@
         PeerStub two = server(PeerStub.answers("500 No", "", ""));
         sidecar(pool("p", "", one, two) + route("search", "p", "retry_on = [\"turned-away\"]\n"));
         assertNotEquals(200, harness.client().search(2_000).answer().status());
-        assertEquals(1, one.seen.size() + two.seen.size());
+        assertEquals(1, one.received.size() + two.received.size());
     }
 
     @Test
@@ -253,7 +253,7 @@
             refused += answer.status() == 503 ? 1 : 0;
         }
         assertTrue(refused >= 36, "refused " + refused);
-        assertTrue(silent.seen.size() < 4, "sent " + silent.seen.size());
+        assertTrue(silent.received.size() < 4, "sent " + silent.received.size());
     }
 
     @Test
@@ -296,15 +296,15 @@
         PeerStub next = server(PeerStub.serves("next"));
         sidecar(pool("p", "", old) + route("book", "p", ""));
         Harness.Client client = harness.client().book("x", 3_000);
-        PeerStub.Seen held = old.take();
+        PeerStub.ReceivedRequest held = old.take();
         reload(pool("q", "", next) + route("book", "q", ""));
         assertEquals("next", harness.client().book("y", 2_000).answer().body());
         held.reply("200 OK", "", "old");
         assertEquals("old", client.answer().body());
-        assertEquals(1, next.seen.size());
+        assertEquals(1, next.received.size());
         // The old pool ends with its last request, and closes its connection.
         old.awaitEnd();
-        assertTrue(old.seen.isEmpty());
+        assertTrue(old.received.isEmpty());
     }
 
     /** A request queued in a removed pool fails at once when no server can be added to it any more. */
@@ -319,7 +319,7 @@
         reload(pool("q", "", next) + route("book", "q", ""));
         assertEquals(503, client.answer().status());
         assertTrue(System.nanoTime() - since < 3_000_000_000L, "held long past the grace");
-        assertTrue(next.seen.isEmpty());
+        assertTrue(next.received.isEmpty());
     }
 
     @Test
@@ -331,7 +331,7 @@
         reload(pool("p", "max_connections = 5\n", two) + route("search", "p", ""));
         assertEquals("two", harness.client().search(2_000).answer().body());
         one.awaitEnd();
-        assertEquals(1, one.seen.size());
+        assertEquals(1, one.received.size());
     }
 
     /** A hedged request and its second attempt end under the file that they started with. */
@@ -342,9 +342,9 @@
         String hedged = route("search", "p", "attempts = 2\nhedges = 1\nhedge_after = \"300ms\"\n");
         sidecar(pool("p", "", one, two) + hedged);
         Harness.Client client = harness.client().search(2_500);
-        PeerStub.Seen first = one.seen.poll(200, TimeUnit.MILLISECONDS);
+        PeerStub.ReceivedRequest first = one.received.poll(200, TimeUnit.MILLISECONDS);
         reload(pool("p", "", one, two) + route("search", "p", "attempts = 1\n"));
-        PeerStub.Seen copy = first == null ? one.take() : two.take();
+        PeerStub.ReceivedRequest copy = first == null ? one.take() : two.take();
         copy.reply("200 OK", "", "copy");
         assertEquals("copy", client.answer().body());
         assertEquals(2, one.accepted.get() + two.accepted.get());
@@ -368,8 +368,8 @@
             assertEquals("next", client.answer().body());
             reload(pool("p", "", old) + route("book", "p", ""));
         }
-        assertTrue(old.seen.isEmpty());
-        assertEquals(3, next.seen.size());
+        assertTrue(old.received.isEmpty());
+        assertEquals(3, next.received.size());
     }
 
     private static String listener(String name, int port) {
@@ -391,7 +391,7 @@
         sidecar(listener("a", first) + rest);
         Harness.Client pending = harness.client().book("x", 5_000);
         Harness.Client idle = harness.client();
-        PeerStub.Seen held = server.take();
+        PeerStub.ReceivedRequest held = server.take();
         reload(listener("b", second) + rest);
         // Accepted before the listener closes: its request is still served, and its connection is closed afterwards.
         server.script(PeerStub.serves("late"));
--- a/src/test/java/org/cypressweir/sidecar/PluginLoopbackTest.java
+++ b/src/test/java/org/cypressweir/sidecar/PluginLoopbackTest.java
@@ -84,14 +84,14 @@
                         .raw(Harness.Client.head("GET", "/pay/7", 2_000, "", 0))
                         .answer()
                         .status());
-        assertEquals(0, one.seen.size() + two.seen.size());
+        assertEquals(0, one.received.size() + two.received.size());
         String post = Harness.Client.head("POST", "/pay/7", 2_000, "", 1) + "x";
         assertEquals(502, harness.client().raw(post).answer().status());
-        assertEquals(1, one.seen.size() + two.seen.size(), "a request that must not run twice was retried");
+        assertEquals(1, one.received.size() + two.received.size(), "a request that must not run twice was retried");
         // Without the grant the request stays a search, which may be retried.
         harness.reload(file(plugin("mark-pay", book), one, two));
         harness.client().raw(Harness.Client.head("GET", "/pay/7", 2_000, "", 0)).answer();
-        assertTrue(one.seen.size() + two.seen.size() > 2, "a search was not retried");
+        assertTrue(one.received.size() + two.received.size() > 2, "a search was not retried");
     }
 
     @Test
@@ -113,7 +113,7 @@
             assertEquals(503, answer.status());
             assertEquals("1.5", answer.headers().get("Retry-After"));
         }
-        assertTrue(one.seen.isEmpty());
+        assertTrue(one.received.isEmpty());
     }
 
     /** A plug-in must not bypass the retry rule: a booking treated as a search could be sent twice. */
@@ -124,7 +124,7 @@
         sidecar(plugin("weaken", "classes = [\"search\"]\n"), one, two);
         RawHttpClient.Message answer = harness.client().book("x", 2_000).answer();
         assertTrue(answer.status() == 502 || answer.status() == 504, "status " + answer.status());
-        assertEquals(1, one.seen.size() + two.seen.size(), "the booking was retried");
+        assertEquals(1, one.received.size() + two.received.size(), "the booking was retried");
         harness.log.await("may not make");
     }
 
@@ -180,7 +180,7 @@
             assertEquals(503, harness.client().book("x", 2_000).answer().status());
             assertTrue(System.nanoTime() - began < 1_000_000_000L);
         }
-        assertTrue(one.seen.isEmpty());
+        assertTrue(one.received.isEmpty());
         harness.reload(file(plugin("loop", "on_failure = \"open\"\ndeadline = \"20ms\"\n"), one));
         assertEquals(200, harness.client().book("x", 2_000).answer().status());
     }
@@ -242,9 +242,9 @@
             answered += c.get(20, TimeUnit.SECONDS);
         }
         assertTrue(answered > 0);
-        assertEquals(answered, one.seen.size());
-        assertTrue(
-                one.seen.stream().allMatch(s -> "u".equals(s.request().headers().get("X-Log-Client"))));
+        assertEquals(answered, one.received.size());
+        assertTrue(one.received.stream()
+                .allMatch(s -> "u".equals(s.request().headers().get("X-Log-Client"))));
     }
 
     /** Upgrades are evaluated by plug-ins like any request, and the bytes after them wait meanwhile. */
@@ -284,6 +284,6 @@
         CountDownLatch ended = harness.stop();
         assertEquals(200, stays.answer().status());
         assertTrue(ended.await(10, TimeUnit.SECONDS));
-        assertTrue(one.seen.stream().noneMatch(s -> s.request().body().equals("gone")));
+        assertTrue(one.received.stream().noneMatch(s -> s.request().body().equals("gone")));
     }
 }
--- a/src/test/java/org/cypressweir/sidecar/ProcessTest.java
+++ b/src/test/java/org/cypressweir/sidecar/ProcessTest.java
@@ -75,7 +75,7 @@
                     program(harness.file, "127.0.0.1:" + address.getPort()).start();
             try (Harness.Client client = connect(address, process)) {
                 client.book("x", 20_000);
-                PeerStub.Seen pending = server.take();
+                PeerStub.ReceivedRequest pending = server.take();
                 process.destroy();
                 assertTrue(!process.waitFor(600, TimeUnit.MILLISECONDS), "ended with a request in flight");
                 pending.reply("200 OK", "", "done");
@@ -179,19 +179,19 @@
                 assertEquals(200, client.search(2_000).answer().status());
                 Files.writeString(harness.file, text.replace(":" + harness.discovery.port(), ":" + next.port()));
                 sendHangup(process);
-                PeerStub.Seen asked = next.take();
-                assertEquals("GET /v1/servers HTTP/1.1", asked.request().first());
+                PeerStub.ReceivedRequest asked = next.take();
+                assertEquals("GET /v1/servers HTTP/1.1", asked.request().firstLine());
                 harness.discovery.awaitEnd();
                 // The old list stays in force until the new discovery has responded.
                 assertEquals(200, client.search(2_000).answer().status());
                 asked.reply("200 OK", "", Harness.json(Harness.list(7, true, "terminating", server)));
-                assertTrue(next.take().request().first().contains("from=7&"));
+                assertTrue(next.take().request().firstLine().contains("from=7&"));
                 assertEquals(503, client.search(2_000).answer().status());
                 Files.writeString(harness.file, text);
                 sendHangup(process);
                 assertEquals(
                         "GET /v1/servers HTTP/1.1",
-                        harness.discovery.take().request().first());
+                        harness.discovery.take().request().firstLine());
             } finally {
                 process.destroyForcibly();
             }
--- a/src/test/java/org/cypressweir/sidecar/RoughClientTest.java
+++ b/src/test/java/org/cypressweir/sidecar/RoughClientTest.java
@@ -29,7 +29,7 @@
     }
 
     /** Sends the second request from within the event that completes the first. */
-    private static final class ChainedSends extends QuietModule {
+    private static final class ChainedSends extends NoOpLoadBalancer {
         private final Actions actions;
         private final List<String> requestIds = new ArrayList<>();
         private long server;
@@ -70,7 +70,7 @@
         open.add(harness);
         harness.start((settings, actions) -> new ChainedSends(actions));
         Harness.Client first = harness.client().search(5_000);
-        PeerStub.Seen one = server.take();
+        PeerStub.ReceivedRequest one = server.take();
         Harness.Client second = harness.client().search(5_000);
         // Connections are read in order, so this rejection shows that the previous request was read.
         assertEquals(400, harness.client().raw("x\r\n\r\n").answer().status());
@@ -122,7 +122,7 @@
         client.raw(head.substring(0, head.length() - 2) + rest);
         assertEquals(400, client.answer().status());
         client.assertClosed();
-        assertTrue(server.seen.isEmpty());
+        assertTrue(server.received.isEmpty());
     }
 
     /** Further bytes while the request is in flight reject it, and its attempt is cancelled. */
@@ -245,7 +245,7 @@
     void errorInTheLoadBalancerIsAnswered() throws Exception {
         Harness harness = new Harness(folder);
         open.add(harness);
-        harness.start((settings, actions) -> new QuietModule() {
+        harness.start((settings, actions) -> new NoOpLoadBalancer() {
             @Override
             public void request(long nowMicros, LoadBalancer.Request request) {
                 throw new StackOverflowError();
@@ -265,9 +265,9 @@
             many.add(server);
         }
         String list = Harness.json(Harness.list(2, true, "in_service", many.toArray(new PeerStub[0])));
-        assertTrue(list.length() > ServerConnection.MAX_BODY);
+        assertTrue(list.length() > ServerConnection.MAX_BODY_BYTES);
         harness.discovery.script(seen -> {
-            if (seen.request().first().contains("from=1&")) {
+            if (seen.request().firstLine().contains("from=1&")) {
                 seen.reply("200 OK", "", list);
             }
         });
--- a/src/test/java/org/cypressweir/sidecar/ServerPoolTest.java
+++ b/src/test/java/org/cypressweir/sidecar/ServerPoolTest.java
@@ -23,8 +23,8 @@
 import org.cypressweir.common.util.Ids;
 import org.cypressweir.loadbalancing.LoadBalancer.LoadReport;
 import org.cypressweir.loadbalancing.LoadBalancer.Request;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestPolicy;
 import org.cypressweir.loadbalancing.LoadBalancer.Result;
-import org.cypressweir.loadbalancing.LoadBalancer.Terms;
 import org.cypressweir.sidecar.ClientRequest.Attempt;
 import org.cypressweir.testkit.PeerStub;
 import org.junit.jupiter.api.Test;
@@ -63,7 +63,7 @@
         SidecarConfiguration config = harness.config();
         harness.loop
                 .submit(() -> {
-                    pool.update(config.lists().read(Harness.json(list).getBytes()));
+                    pool.update(config.listReader().read(Harness.json(list).getBytes()));
                     return null;
                 })
                 .get();
@@ -74,7 +74,7 @@
         Request request = new Request(Harness.Client.id(), 0, 0, false, -1, now + 60_000_000, 0, false);
         ClientRequest call = new ClientRequest(
                 request,
-                new RouteDecision(null, 0, "/search", null, Long.MAX_VALUE, Terms.NONE, null),
+                new RouteDecision(null, 0, "/search", null, Long.MAX_VALUE, RequestPolicy.NONE, null),
                 "search",
                 HttpMethod.GET,
                 new DefaultHttpHeaders(),
@@ -93,7 +93,7 @@
 
     /** Waits until connections that have just received a response may be reused. */
     private void awaitReusable() throws InterruptedException {
-        assertNull(results.poll(2 * ServerPool.SETTLE_MICROS, TimeUnit.MICROSECONDS));
+        assertNull(results.poll(2 * ServerPool.REUSE_DELAY_MICROS, TimeUnit.MICROSECONDS));
     }
 
     @Test
@@ -154,9 +154,9 @@
         PeerStub server = server(PeerStub.SILENT);
         start(1024, server);
         send(server.port());
-        PeerStub.Seen first = server.take();
+        PeerStub.ReceivedRequest first = server.take();
         send(server.port());
-        PeerStub.Seen second = server.take();
+        PeerStub.ReceivedRequest second = server.take();
         second.reply("200 OK", "", "");
         assertEquals(Result.SERVED, result());
         first.reply("200 OK", "", "");
@@ -254,7 +254,7 @@
         start(1024);
         update(listOf(1, "in_service", fullBacklog));
         Attempt attempt = send(fullBacklog.socket.getLocalPort());
-        attempt.call.over = true;
+        attempt.call.finished = true;
         Socket up = fullBacklog.acceptNext();
         assertEquals(Result.NOT_SENT, result());
         harness.loop.submit(pool::close).get();
--- a/src/test/java/org/cypressweir/sidecar/SidecarConfigurationTest.java
+++ b/src/test/java/org/cypressweir/sidecar/SidecarConfigurationTest.java
@@ -21,7 +21,7 @@
             SidecarConfiguration config = harness.config();
             assertTrue(config.serverConnections() >= sockets / 3, "servers");
             assertTrue(config.clientConnections() >= sockets / 3, "clients");
-            int open = config.settings().limits().open();
+            int open = config.settings().limits().maxOpen();
             assertTrue(open < sockets / 3, "some are left for the next request");
             assertTrue(open >= sockets * 0.32 - 1, "but a busy sidecar may serve nearly all");
             assertTrue(config.serverConnections() + config.clientConnections() + 16 <= sockets, "all");
--- a/src/test/java/org/cypressweir/sidecar/SidecarTest.java
+++ b/src/test/java/org/cypressweir/sidecar/SidecarTest.java
@@ -42,7 +42,7 @@
         assertEquals("text/x", answer.headers().get("Content-Type"));
         assertNull(answer.headers().get("Server-Load"));
         RawHttpClient.Message sent = server.take().request();
-        assertEquals("POST /book/k1?x=1 HTTP/1.1", sent.first());
+        assertEquals("POST /book/k1?x=1 HTTP/1.1", sent.firstLine());
         assertEquals("slot=7", sent.body());
         assertEquals(16, sent.headers().get("Request-Id").length());
         long timeoutMillis = Long.parseLong(sent.headers().get("Request-Timeout-Ms"));
@@ -95,7 +95,7 @@
         RawHttpClient.Message answer =
                 sidecar(one, two).client().book("x", 1_000).answer();
         assertEquals(502, answer.status());
-        assertEquals(1, one.seen.size() + two.seen.size());
+        assertEquals(1, one.received.size() + two.received.size());
     }
 
     @Test
@@ -146,7 +146,7 @@
         long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
         assertEquals(504, answer.status());
         assertTrue(millis < 2_000, "answered after " + millis + " ms");
-        assertEquals(1, server.seen.size());
+        assertEquals(1, server.received.size());
         server.awaitEnd();
     }
 
@@ -168,7 +168,7 @@
             if (answer.status() == 200) {
                 assertEquals(id, answer.body());
             } else {
-                assertTrue(List.of(502, 503, 504).contains(answer.status()), answer.first());
+                assertTrue(List.of(502, 503, 504).contains(answer.status()), answer.firstLine());
             }
         }
         client.raw("GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
@@ -182,7 +182,7 @@
         Harness.Client client = sidecar(server).client();
         for (int i = 0; i < 5; i++) {
             assertEquals(200, client.search(2_000).answer().status());
-            LockSupport.parkNanos(TimeUnit.MICROSECONDS.toNanos(2 * ServerPool.SETTLE_MICROS));
+            LockSupport.parkNanos(TimeUnit.MICROSECONDS.toNanos(2 * ServerPool.REUSE_DELAY_MICROS));
         }
         assertEquals(1, server.accepted.get());
     }
@@ -268,7 +268,7 @@
         PeerStub server = server(PeerStub.serves("ok"));
         Harness harness = new Harness(folder, server);
         open.add(harness);
-        harness.start((settings, actions) -> new QuietModule() {
+        harness.start((settings, actions) -> new NoOpLoadBalancer() {
             private boolean thrown;
 
             @Override
@@ -292,7 +292,7 @@
         Harness harness = new Harness(folder);
         open.add(harness);
         List<String> order = new ArrayList<>();
-        harness.start((settings, actions) -> new QuietModule() {
+        harness.start((settings, actions) -> new NoOpLoadBalancer() {
             @Override
             public void request(long nowMicros, LoadBalancer.Request request) {
                 order.add("request");
@@ -336,7 +336,7 @@
         Harness harness = new Harness(folder);
         open.add(harness);
         var left = new LinkedBlockingQueue<String>();
-        harness.start((settings, actions) -> new QuietModule() {
+        harness.start((settings, actions) -> new NoOpLoadBalancer() {
             @Override
             public void clientLeft(long nowMicros, String requestId) {
                 left.add(requestId);
@@ -357,7 +357,7 @@
         var actions = new AtomicReference<LoadBalancer.Actions>();
         harness.start((settings, givenActions) -> {
             actions.set(givenActions);
-            return new QuietModule() {
+            return new NoOpLoadBalancer() {
                 @Override
                 public void request(long nowMicros, LoadBalancer.Request request) {
                     requestIds.add(request.id());
@@ -392,12 +392,12 @@
         PeerStub staying = server(PeerStub.serves("staying"));
         Harness harness = sidecar(leaving, staying);
         harness.discovery.take().reply("200 OK", "", Harness.json(Harness.list(2, false, "terminating", leaving)));
-        String next = harness.discovery.take().request().first();
+        String next = harness.discovery.take().request().firstLine();
         assertTrue(next.startsWith("GET /v1/servers?from=2&hold_ms="), next);
         for (int i = 0; i < 20; i++) {
             assertEquals("staying", harness.client().search(2_000).answer().body());
         }
-        assertEquals(0, leaving.seen.size());
+        assertEquals(0, leaving.received.size());
     }
 
     @Test
@@ -421,8 +421,9 @@
         harness.discovery.take().socket().close();
         harness.discovery.take().reply("503 Busy", "", "");
         harness.discovery.take().reply("200 OK", "", "{\"rev\":2,\"all\":true,\"targets\":[{}]}");
-        PeerStub.Seen again = harness.discovery.take();
-        assertTrue(again.request().first().contains("from=1&"), again.request().first());
+        PeerStub.ReceivedRequest again = harness.discovery.take();
+        assertTrue(
+                again.request().firstLine().contains("from=1&"), again.request().firstLine());
         assertEquals("old", harness.client().search(2_000).answer().body());
         again.reply("200 OK", "", Harness.json(Harness.list(3, true, "in_service", fresh)));
         harness.discovery.take();
@@ -438,7 +439,7 @@
         var failures = new LinkedBlockingQueue<String>();
         Discovery.Listener listener = new Discovery.Listener() {
             @Override
-            public void listed(ServerList list) {}
+            public void listReceived(ServerList list) {}
 
             @Override
             public void failed(String why) {
@@ -446,8 +447,8 @@
             }
         };
         SidecarConfiguration config = harness.config();
-        harness.loop.execute(
-                () -> new Discovery(harness.loop, address, config.lists(), 1, listener, line -> {}, 50).subscribe());
+        harness.loop.execute(() ->
+                new Discovery(harness.loop, address, config.listReader(), 1, listener, line -> {}, 50).subscribe());
         assertEquals("no answer", failures.poll(10, TimeUnit.SECONDS));
         silent.awaitEnd();
     }
@@ -460,7 +461,7 @@
         Harness harness = sidecar(server);
         Harness.Client busy = harness.client().book("x", 30_000);
         Harness.Client idle = harness.client();
-        PeerStub.Seen pending = server.take();
+        PeerStub.ReceivedRequest pending = server.take();
         var ended = harness.stop();
         Harness.Client late = harness.client();
         late.raw("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
--- a/src/test/java/org/cypressweir/sidecar/SlowPeriodTest.java
+++ b/src/test/java/org/cypressweir/sidecar/SlowPeriodTest.java
@@ -73,7 +73,7 @@
             server.take();
             harness.loop.schedule(() -> {}, 200, TimeUnit.MILLISECONDS).get();
             Harness.Client other = harness.client().search(20_000);
-            PeerStub.Seen answering = server.take();
+            PeerStub.ReceivedRequest answering = server.take();
             harness.loop.schedule(() -> {}, 400, TimeUnit.MILLISECONDS).get();
             Harness.Client next = harness.client().search(20_000);
             // The request before this one has been accepted by now, since the requests on both connections are read in
--- a/src/test/java/org/cypressweir/sidecar/TunnelDrainTest.java
+++ b/src/test/java/org/cypressweir/sidecar/TunnelDrainTest.java
@@ -76,7 +76,7 @@
     void messageInProgressIsCompletedBeforeClosing() throws Exception {
         BlockingQueue<String> heard = new LinkedBlockingQueue<>();
         PeerStub one = server(seen -> {
-            WebSocketClient ws = WebSocketClient.agree(seen, "");
+            WebSocketClient ws = WebSocketClient.acceptUpgrade(seen, "");
             for (WebSocketClient.Frame f; (f = ws.message()) != null; ) {
                 heard.add(f.opcode() == 8 ? "close " + f.code() : f.text());
                 if (f.opcode() == 8) {
@@ -123,10 +123,10 @@
     }
 
     private void await(State state) throws Exception {
-        while (harness.loop.submit(() -> harness.counters().in(state)).get() != 1) {
+        while (harness.loop.submit(() -> harness.counters().count(state)).get() != 1) {
             Thread.onSpinWait();
         }
-        assertTrue(harness.loop.submit(() -> harness.counters().addUp()).get());
+        assertTrue(harness.loop.submit(() -> harness.counters().isConsistent()).get());
     }
 
     /** A server starts draining while its 101 is on the way: the tunnel opens and is closed like the others. */
@@ -139,7 +139,7 @@
             } catch (InterruptedException e) {
                 throw new IOException(e);
             }
-            WebSocketClient ws = WebSocketClient.agree(seen, "");
+            WebSocketClient ws = WebSocketClient.acceptUpgrade(seen, "");
             ws.close(ws.message().code());
         });
         PeerStub two = server(WebSocketClient.echo());
@@ -163,7 +163,7 @@
         open.add(harness);
         harness.startWith(file("drain_time = \"300ms\"\n")
                 .replaceFirst("(?s)source = \"static\".*?\\]\n", "source = \"discovery\"\n"));
-        PeerStub.Seen watch = harness.discovery.take();
+        PeerStub.ReceivedRequest watch = harness.discovery.take();
         WebSocketClient ws = open();
         watch.reply("200 OK", "", Harness.json(Harness.list(9, false, "terminating", one)));
         harness.discovery.take();
@@ -177,7 +177,7 @@
     @Test
     void clientThatNeverReadsIsClosed() throws Exception {
         PeerStub one = server(seen -> {
-            WebSocketClient ws = WebSocketClient.agree(seen, "");
+            WebSocketClient ws = WebSocketClient.acceptUpgrade(seen, "");
             byte[] much = new byte[100_000];
             while (true) {
                 ws.send(2, true, much);
@@ -215,7 +215,7 @@
         assertEquals(
                 30,
                 harness.loop
-                        .submit(() -> harness.counters().in(State.CLOSED_BY_SIDECAR))
+                        .submit(() -> harness.counters().count(State.CLOSED_BY_SIDECAR))
                         .get());
     }
 
@@ -228,7 +228,7 @@
             AtomicInteger count = counts[i];
             servers[i] = server(seen -> {
                 count.incrementAndGet();
-                WebSocketClient ws = WebSocketClient.agree(seen, "");
+                WebSocketClient ws = WebSocketClient.acceptUpgrade(seen, "");
                 while (ws.read() != null) {
                     // Stays open without sending.
                     Thread.onSpinWait();
--- a/src/test/java/org/cypressweir/sidecar/TunnelLimitsTest.java
+++ b/src/test/java/org/cypressweir/sidecar/TunnelLimitsTest.java
@@ -40,7 +40,7 @@
         ws.close(1000);
         ws.message();
         while (harness.loop
-                        .submit(() -> harness.counters().in(State.CLOSED_BY_CLIENT))
+                        .submit(() -> harness.counters().count(State.CLOSED_BY_CLIENT))
                         .get()
                 < 1) {
             Thread.onSpinWait();
@@ -51,7 +51,9 @@
         assertRejected(CHAT);
         assertEquals(
                 2,
-                harness.loop.submit(() -> harness.counters().in(State.REFUSED)).get());
+                harness.loop
+                        .submit(() -> harness.counters().count(State.REFUSED))
+                        .get());
     }
 
     /** At the limit the tunnel that has been idle longest is evicted; one that has just sent a message stays. */
@@ -135,7 +137,7 @@
         // The pool uses discovery, which reports when a server was started.
         harness.startWith(file("resumable = [\"chat\"]\nresume_header = \"Resume: yes\"\n" + "reconnect_rate = 1000\n")
                 .replaceFirst("(?s)source = \"static\".*?\\]\n", "source = \"discovery\"\nupgrade_rate = 100\n"));
-        PeerStub.Seen watch = harness.discovery.take();
+        PeerStub.ReceivedRequest watch = harness.discovery.take();
         List<WebSocketClient> all = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             all.add(open(CHAT));
--- a/src/test/java/org/cypressweir/sidecar/TunnelLoopback.java
+++ b/src/test/java/org/cypressweir/sidecar/TunnelLoopback.java
@@ -70,7 +70,7 @@
                 return;
             }
             tunnels.incrementAndGet();
-            WebSocketClient ws = WebSocketClient.agree(seen, CHAT);
+            WebSocketClient ws = WebSocketClient.acceptUpgrade(seen, CHAT);
             for (WebSocketClient.Frame f; (f = ws.message()) != null; ) {
                 if (f.opcode() == 8) {
                     ws.close(f.code());
--- a/src/test/java/org/cypressweir/sidecar/TunnelMoveTest.java
+++ b/src/test/java/org/cypressweir/sidecar/TunnelMoveTest.java
@@ -36,15 +36,16 @@
 
     /** Waits until this many upgrades are in the given state. */
     private void await(State state, long count) throws Exception {
-        while (harness.loop.submit(() -> harness.counters().in(state)).get() != count) {
+        while (harness.loop.submit(() -> harness.counters().count(state)).get() != count) {
             Thread.onSpinWait();
         }
     }
 
     private void awaitMoved(long count) throws Exception {
         while (harness.loop.submit(() -> harness.moved()).get() < count) {
-            long left =
-                    harness.loop.submit(() -> harness.counters().in(State.OPEN)).get();
+            long left = harness.loop
+                    .submit(() -> harness.counters().count(State.OPEN))
+                    .get();
             assertTrue(left > 0, "all have ended");
         }
     }
@@ -59,7 +60,7 @@
         PeerStub.Script counting = seen -> {
             List<Integer> mine = received.computeIfAbsent(
                     seen.request().headers().get("Session"), k -> Collections.synchronizedList(new ArrayList<>()));
-            WebSocketClient ws = WebSocketClient.agree(seen, CHAT);
+            WebSocketClient ws = WebSocketClient.acceptUpgrade(seen, CHAT);
             for (WebSocketClient.Frame f; (f = ws.message()) != null; ) {
                 if (f.opcode() == 8) {
                     ws.close(f.code());
@@ -99,7 +100,7 @@
         }
         assertEquals(
                 TUNNELS, harness.loop.submit(() -> harness.counters().opened()).get());
-        assertTrue(harness.loop.submit(() -> harness.counters().addUp()).get());
+        assertTrue(harness.loop.submit(() -> harness.counters().isConsistent()).get());
     }
 
     private static void send(WebSocketClient ws, List<String> faults) {
@@ -154,7 +155,7 @@
     void firstMessageIsRepeatedToTheNewServer() throws Exception {
         BlockingQueue<String> received = new LinkedBlockingQueue<>();
         PeerStub.Script recording = seen -> {
-            WebSocketClient ws = WebSocketClient.agree(seen, CHAT);
+            WebSocketClient ws = WebSocketClient.acceptUpgrade(seen, CHAT);
             for (WebSocketClient.Frame f; (f = ws.message()) != null && f.opcode() != 8; ) {
                 received.add(f.text());
             }
@@ -181,7 +182,7 @@
     void tunnelDoesNotMoveWithinAMessage() throws Exception {
         BlockingQueue<String> old = new LinkedBlockingQueue<>();
         PeerStub one = server(seen -> {
-            WebSocketClient ws = WebSocketClient.agree(seen, CHAT);
+            WebSocketClient ws = WebSocketClient.acceptUpgrade(seen, CHAT);
             for (WebSocketClient.Frame f; (f = ws.message()) != null && f.opcode() != 8; ) {
                 old.add(f.text());
                 // A message of the server's own, which it completes on receiving the client's next one.
@@ -232,7 +233,7 @@
     @Test
     void serverFailureDuringAMoveClosesTheTunnel() throws Exception {
         PeerStub one = server(seen -> {
-            WebSocketClient ws = WebSocketClient.agree(seen, CHAT);
+            WebSocketClient ws = WebSocketClient.acceptUpgrade(seen, CHAT);
             while (ws.read().opcode() != 8) {
                 Thread.onSpinWait();
             }
@@ -240,7 +241,7 @@
         });
         BlockingQueue<Integer> codes = new LinkedBlockingQueue<>();
         PeerStub two = server(seen -> {
-            WebSocketClient ws = WebSocketClient.agree(seen, CHAT);
+            WebSocketClient ws = WebSocketClient.acceptUpgrade(seen, CHAT);
             WebSocketClient.Frame f = ws.message();
             codes.add(f.opcode() == 8 ? f.code() : -1);
         });
@@ -250,7 +251,7 @@
         assertEquals(1011, ws.message().code());
         assertEquals(1001, codes.take());
         await(State.BROKEN, 1);
-        assertTrue(harness.loop.submit(() -> harness.counters().addUp()).get());
+        assertTrue(harness.loop.submit(() -> harness.counters().isConsistent()).get());
     }
 
     /** A server that does not answer the close frame has a time-out, after which both sides are closed. */
@@ -258,7 +259,7 @@
     void serverThatIgnoresTheCloseFrameClosesTheTunnel() throws Exception {
         CountDownLatch closeReceived = new CountDownLatch(1);
         PeerStub one = server(seen -> {
-            WebSocketClient ws = WebSocketClient.agree(seen, CHAT);
+            WebSocketClient ws = WebSocketClient.acceptUpgrade(seen, CHAT);
             for (WebSocketClient.Frame f; (f = ws.read()) != null; ) {
                 if (f.opcode() == 8) {
                     closeReceived.countDown();
@@ -266,8 +267,8 @@
             }
         });
         BlockingQueue<Integer> codes = new LinkedBlockingQueue<>();
-        PeerStub two = server(
-                seen -> codes.add(WebSocketClient.agree(seen, CHAT).message().code()));
+        PeerStub two = server(seen ->
+                codes.add(WebSocketClient.acceptUpgrade(seen, CHAT).message().code()));
         sidecar(file(RESUME, one));
         WebSocketClient ws = open(CHAT);
         harness.reload(file(RESUME, two));
@@ -284,7 +285,7 @@
     @Test
     void closeCodeOfTheOldServerReachesTheClient() throws Exception {
         PeerStub one = server(seen -> {
-            WebSocketClient ws = WebSocketClient.agree(seen, CHAT);
+            WebSocketClient ws = WebSocketClient.acceptUpgrade(seen, CHAT);
             ws.message();
             ws.close(4001);
         });
@@ -301,7 +302,7 @@
     @Test
     void nonResumableTunnelIsClosed() throws Exception {
         PeerStub one = server(seen -> {
-            WebSocketClient ws = WebSocketClient.agree(seen, "");
+            WebSocketClient ws = WebSocketClient.acceptUpgrade(seen, "");
             ws.close(ws.message().code());
         });
         PeerStub two = server(chat(secondServerTunnels));
@@ -316,7 +317,7 @@
     @Test
     void processStopDuringAMoveClosesTheTunnelOnce() throws Exception {
         PeerStub one = server(chat(secondServerTunnels));
-        BlockingQueue<PeerStub.Seen> asked = new LinkedBlockingQueue<>();
+        BlockingQueue<PeerStub.ReceivedRequest> asked = new LinkedBlockingQueue<>();
         PeerStub two = server(asked::add);
         sidecar(file(RESUME, one));
         WebSocketClient ws = open(CHAT);
@@ -329,7 +330,7 @@
         assertEquals(
                 1,
                 harness.loop
-                        .submit(() -> harness.counters().in(State.CLOSED_BY_SIDECAR))
+                        .submit(() -> harness.counters().count(State.CLOSED_BY_SIDECAR))
                         .get());
     }
 
@@ -347,7 +348,7 @@
             } catch (InterruptedException e) {
                 throw new IOException(e);
             }
-            codes.add(WebSocketClient.agree(seen, CHAT).message().code());
+            codes.add(WebSocketClient.acceptUpgrade(seen, CHAT).message().code());
         });
         sidecar(file(RESUME, one));
         Harness.Client client = ask(CHAT);
--- a/src/test/java/org/cypressweir/sidecar/UpgradeTest.java
+++ b/src/test/java/org/cypressweir/sidecar/UpgradeTest.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.cypressweir.testkit.PeerStub;
-import org.cypressweir.testkit.Platform;
+import org.cypressweir.testkit.SocketActivator;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -34,13 +34,13 @@
 
     private PeerStub server;
     private Harness harness;
-    private Platform platform;
+    private SocketActivator platform;
 
     @BeforeEach
     void start() throws Exception {
         server = new PeerStub(PeerStub.serves("ok"));
         harness = new Harness(folder, server);
-        platform = new Platform();
+        platform = new SocketActivator();
         Files.createFile(folder.resolve("log"));
     }
 
@@ -77,13 +77,13 @@
     private void awaitReady(InetSocketAddress adminAddress) throws Exception {
         while (true) {
             try {
-                if (Harness.call(adminAddress, "READY").equals("YES\n")) {
+                if (Harness.adminCommand(adminAddress, "READY").equals("YES\n")) {
                     return;
                 }
             } catch (IOException e) {
                 // Not listening yet.
             }
-            assertFalse(platform.lostOne(), "a program ended: " + Files.readString(folder.resolve("log")));
+            assertFalse(platform.hasUnexpectedEnd(), "a program ended: " + Files.readString(folder.resolve("log")));
             Thread.onSpinWait();
         }
     }
@@ -110,7 +110,7 @@
         try (Harness.Client held = new Harness.Client(platform.address);
                 Harness.Client kept = new Harness.Client(platform.address)) {
             held.book("x", HELD_REQUEST_MILLIS);
-            PeerStub.Seen pending = server.take();
+            PeerStub.ReceivedRequest pending = server.take();
             server.script(PeerStub.serves("ok"));
             assertEquals("ok", answer(kept.search(5_000)));
             long next = run(second);
@@ -129,11 +129,12 @@
                 }
                 return served;
             });
-            assertTrue(Harness.call(first, "READY").startsWith("YES"));
+            assertTrue(Harness.adminCommand(first, "READY").startsWith("YES"));
             awaitReady(second);
-            assertTrue(Harness.call(second, "STATS").contains("\"failure\":{\"search\":0,\"hold\":0,\"book\":0}"));
+            assertTrue(
+                    Harness.adminCommand(second, "STATS").contains("\"failure\":{\"search\":0,\"hold\":0,\"book\":0}"));
             signal("TERM", old);
-            while (!Harness.call(first, "READY").equals("NO stopping\n")) {
+            while (!Harness.adminCommand(first, "READY").equals("NO stopping\n")) {
                 Thread.onSpinWait();
             }
             pending.reply("200 OK", "", "as promised");
@@ -142,7 +143,7 @@
             assertEquals(0, platform.awaitEnd(old));
             stopped.set(true);
             assertTrue(requests.join() > 0);
-            assertFalse(platform.lostOne());
+            assertFalse(platform.hasUnexpectedEnd());
             try (Harness.Client client = new Harness.Client(platform.address)) {
                 assertEquals("ok", answer(client.search(5_000)));
             }
@@ -164,12 +165,12 @@
         SidecarConfiguration service = SidecarConfiguration.read(
                 Map.of("LB_CONFIG", harness.file.toString(), "LB_OPERATOR", "127.0.0.1:9", "LB_SOCKET_FD", "0"));
         assertEquals(
-                plain.settings().limits().open(), service.settings().limits().open());
+                plain.settings().limits().maxOpen(), service.settings().limits().maxOpen());
         assertTrue(service.clientConnections() + service.serverConnections()
                 < plain.clientConnections() + plain.serverConnections());
         SidecarConfiguration reduced = service.withReducedDescriptors();
-        assertEquals(reduced.serverConnections(), reduced.settings().limits().connections());
-        assertTrue(reduced.settings().limits().open() <= reduced.serverConnections());
+        assertEquals(reduced.serverConnections(), reduced.settings().limits().maxConnections());
+        assertTrue(reduced.settings().limits().maxOpen() <= reduced.serverConnections());
     }
 
     @Test
--- a/src/test/java/org/cypressweir/sidecar/WarmUpTest.java
+++ b/src/test/java/org/cypressweir/sidecar/WarmUpTest.java
@@ -44,7 +44,7 @@
                 assertTrue(WarmUp.run(config, config.listen(), REQUESTS, 20_000) >= REQUESTS);
                 new ServerSocket(config.listen().getPort()).close();
             }
-            assertTrue(server.seen.isEmpty());
+            assertTrue(server.received.isEmpty());
             assertEquals(0, server.accepted.get());
             assertEquals(0, harness.discovery.accepted.get());
         }
--- a/src/test/java/org/cypressweir/sidecar/WebSocketTest.java
+++ b/src/test/java/org/cypressweir/sidecar/WebSocketTest.java
@@ -91,7 +91,7 @@
         RawHttpClient.Message answer = client.answer();
         assertEquals(101, answer.status());
         assertEquals(
-                WebSocketClient.accept(WebSocketClient.KEY), answer.headers().get("Sec-WebSocket-Accept"));
+                WebSocketClient.acceptKey(WebSocketClient.KEY), answer.headers().get("Sec-WebSocket-Accept"));
         return new WebSocketClient(client.socket, true);
     }
 
@@ -102,14 +102,14 @@
                 .submit(() -> {
                     long last = 0;
                     for (State state : State.values()) {
-                        last += state.isLast() ? counters.in(state) : 0;
+                        last += state.isFinal() ? counters.count(state) : 0;
                     }
                     return last < counters.asked() || counters.asked() < asked;
                 })
                 .get()) {
             Thread.onSpinWait();
         }
-        assertTrue(harness.loop.submit(counters::addUp).get(), counters.toString());
+        assertTrue(harness.loop.submit(counters::isConsistent).get(), counters.toString());
         assertEquals(asked, counters.asked(), counters.toString());
     }
 
@@ -117,7 +117,8 @@
 
     @Test
     void handshakeAndItsResponseAreForwarded() throws Exception {
-        PeerStub server = server(seen -> WebSocketClient.agree(seen, "Sec-WebSocket-Protocol: b\r\nX-More: 1\r\n"));
+        PeerStub server =
+                server(seen -> WebSocketClient.acceptUpgrade(seen, "Sec-WebSocket-Protocol: b\r\nX-More: 1\r\n"));
         sidecar("", server);
         Harness.Client client = harness.client()
                 .raw(ask(
@@ -132,7 +133,7 @@
         assertEquals("Upgrade", answer.headers().get("Connection"));
         assertNull(answer.headers().get("Content-Length"));
         RawHttpClient.Message seen = server.take().request();
-        assertEquals("GET /search/1?x=2 HTTP/1.1", seen.first());
+        assertEquals("GET /search/1?x=2 HTTP/1.1", seen.firstLine());
         assertEquals("websocket", seen.headers().get("Upgrade"));
         assertEquals("Upgrade", seen.headers().get("Connection"));
         assertEquals(WebSocketClient.KEY, seen.headers().get("Sec-WebSocket-Key"));
@@ -164,7 +165,7 @@
                 harness.client().raw(ask("/search/1", more) + body).answer();
         assertEquals(status, answer.status());
         assertEquals(status == 426 ? "13" : null, answer.headers().get("Sec-WebSocket-Version"));
-        assertTrue(server.seen.isEmpty());
+        assertTrue(server.received.isEmpty());
         assertEquals(0, counters().asked());
     }
 
@@ -219,7 +220,7 @@
                     .replace("\\r", "\r")
                     .replace("\\n", "\n")
                     .replace("OK\r\n\r\n", "OK\r\n\r\n")
-                    .replace("Accept: OK", "Accept: " + WebSocketClient.accept(WebSocketClient.KEY)));
+                    .replace("Accept: OK", "Accept: " + WebSocketClient.acceptKey(WebSocketClient.KEY)));
             seen.socket().close();
         };
         PeerStub one = server(script);
@@ -233,9 +234,9 @@
             assertEquals("no", answer.headers().get("X-Why"));
         }
         client.assertClosed();
-        assertEquals(1, one.seen.size() + two.seen.size());
+        assertEquals(1, one.received.size() + two.received.size());
         assertEnded(1);
-        assertEquals(1, counters().in(State.FAILED));
+        assertEquals(1, counters().count(State.FAILED));
     }
 
     @Test
@@ -254,7 +255,7 @@
         assertEquals(101, client.answer().status());
         WebSocketClient ws = new WebSocketClient(client.socket, true).text("hello");
         assertEquals("hello", ws.message().text());
-        assertEquals(2, one.seen.size() + two.seen.size());
+        assertEquals(2, one.received.size() + two.received.size());
     }
 
     @Test
@@ -266,12 +267,12 @@
         assertEquals(503, answer.status());
         assertNotNull(answer.headers().get("Retry-After"));
         assertEnded(1);
-        assertEquals(1, counters().in(State.REFUSED));
+        assertEquals(1, counters().count(State.REFUSED));
     }
 
     @Test
     void response101ToAPlainRequestIsAnError() throws Exception {
-        PeerStub server = server(seen -> seen.raw(WebSocketClient.agreed(WebSocketClient.KEY, "")));
+        PeerStub server = server(seen -> seen.raw(WebSocketClient.switchingProtocols(WebSocketClient.KEY, "")));
         sidecar("", server);
         assertEquals(502, harness.client().book("x", 1_000).answer().status());
     }
@@ -281,16 +282,16 @@
         PeerStub server = server(PeerStub.SILENT);
         sidecar("", server);
         Harness.Client client = harness.client().raw(ask("/search/1", UPGRADE_HEADERS));
-        PeerStub.Seen pending = server.take();
+        PeerStub.ReceivedRequest pending = server.take();
         client.close();
         server.awaitEnd();
         assertThrows(IOException.class, () -> {
             while (true) {
-                pending.raw(WebSocketClient.agreed(WebSocketClient.KEY, ""));
+                pending.raw(WebSocketClient.switchingProtocols(WebSocketClient.KEY, ""));
             }
         });
         assertEnded(1);
-        assertEquals(1, counters().in(State.GONE));
+        assertEquals(1, counters().count(State.GONE));
     }
 
     // ---- Bytes around the handshake
@@ -300,14 +301,15 @@
     void framesSentWithTheHandshakeAreKept() throws Exception {
         PeerStub server = server(seen -> {
             ByteArrayOutputStream both = new ByteArrayOutputStream();
-            both.writeBytes(WebSocketClient.agreed(WebSocketClient.KEY, "").getBytes(StandardCharsets.US_ASCII));
+            both.writeBytes(
+                    WebSocketClient.switchingProtocols(WebSocketClient.KEY, "").getBytes(StandardCharsets.US_ASCII));
             for (int i = 0; i < 10; i++) {
                 both.writeBytes(WebSocketClient.frame(false, 0x81, ("s" + i).getBytes(StandardCharsets.US_ASCII)));
             }
             seen.socket().getOutputStream().write(both.toByteArray());
             WebSocketClient ws = new WebSocketClient(seen.socket(), false);
             for (WebSocketClient.Frame f; (f = ws.read()) != null; ) {
-                ws.send(f.opcode(), f.last(), f.payload());
+                ws.send(f.opcode(), f.fin(), f.payload());
             }
         });
         sidecar("", server);
@@ -336,7 +338,8 @@
         BlockingQueue<String> received = new LinkedBlockingQueue<>();
         PeerStub server = server(seen -> {
             awaitQuietly(release);
-            WebSocketClient.Frame first = WebSocketClient.agree(seen, "").message();
+            WebSocketClient.Frame first =
+                    WebSocketClient.acceptUpgrade(seen, "").message();
             received.add(first == null ? "nothing" : first.text());
         });
         sidecar("", server);
@@ -385,8 +388,8 @@
     @CsvSource({"c10141, 1002", "830141, 1002", "0900, 1002", "818100000000ff, 1007", "888100000000ff, 1002"})
     void invalidClientFramesCloseBothSides(String hex, int code) throws Exception {
         BlockingQueue<Integer> serverCloseCodes = new LinkedBlockingQueue<>();
-        PeerStub server = server(seen ->
-                serverCloseCodes.add(WebSocketClient.agree(seen, "").message().code()));
+        PeerStub server = server(seen -> serverCloseCodes.add(
+                WebSocketClient.acceptUpgrade(seen, "").message().code()));
         sidecar("", server);
         WebSocketClient ws = open(harness.client());
         byte[] wrong = io.netty.buffer.ByteBufUtil.decodeHexDump(hex);
@@ -398,14 +401,14 @@
         assertEquals(code, ws.message().code());
         assertEquals(1001, serverCloseCodes.take());
         assertEnded(1);
-        assertEquals(1, counters().in(State.CLOSED_BY_CLIENT));
+        assertEquals(1, counters().count(State.CLOSED_BY_CLIENT));
     }
 
     @Test
     void invalidServerFramesCloseBothSides() throws Exception {
         BlockingQueue<Integer> serverCloseCodes = new LinkedBlockingQueue<>();
         PeerStub server = server(seen -> {
-            WebSocketClient ws = WebSocketClient.agree(seen, "");
+            WebSocketClient ws = WebSocketClient.acceptUpgrade(seen, "");
             ws.raw(new byte[] {(byte) 0x83, 0});
             serverCloseCodes.add(ws.message().code());
         });
@@ -428,7 +431,7 @@
     @Test
     void serverFailureWithinAFrameLeavesCompleteFrames() throws Exception {
         PeerStub server = server(seen -> {
-            WebSocketClient ws = WebSocketClient.agree(seen, "");
+            WebSocketClient ws = WebSocketClient.acceptUpgrade(seen, "");
             byte[] frame = WebSocketClient.frame(false, 0x82, new byte[50_000]);
             ws.raw(Arrays.copyOf(frame, 20_000));
             seen.socket().close();
@@ -439,32 +442,32 @@
         WebSocketClient.Frame last = null;
         for (WebSocketClient.Frame f; (f = ws.read()) != null && f.opcode() != 8; ) {
             bytes += f.payload().length;
-            assertTrue(!f.last(), "an incomplete message was marked as complete");
+            assertTrue(!f.fin(), "an incomplete message was marked as complete");
             last = f;
         }
         assertNotNull(last);
         assertEquals(20_000 - 4, bytes);
         assertEnded(1);
-        assertEquals(1, counters().in(State.BROKEN));
+        assertEquals(1, counters().count(State.BROKEN));
     }
 
     @Test
     void serverFailureGives1011AndClientFailureGives1001() throws Exception {
         BlockingQueue<Integer> serverCloseCodes = new LinkedBlockingQueue<>();
         PeerStub server = server(seen -> {
-            WebSocketClient.agree(seen, "");
+            WebSocketClient.acceptUpgrade(seen, "");
             seen.socket().close();
         });
         sidecar("", server);
         assertEquals(1011, open(harness.client()).message().code());
-        server.script(seen ->
-                serverCloseCodes.add(WebSocketClient.agree(seen, "").message().code()));
+        server.script(seen -> serverCloseCodes.add(
+                WebSocketClient.acceptUpgrade(seen, "").message().code()));
         Harness.Client client = harness.client();
         open(client);
         client.close();
         assertEquals(1001, serverCloseCodes.take());
         assertEnded(2);
-        assertEquals(2, counters().in(State.BROKEN));
+        assertEquals(2, counters().count(State.BROKEN));
     }
 
     @Test
@@ -477,7 +480,7 @@
             assertNull(ws.read());
         }
         server.script(seen -> {
-            WebSocketClient ws = WebSocketClient.agree(seen, "").close(4321);
+            WebSocketClient ws = WebSocketClient.acceptUpgrade(seen, "").close(4321);
             ws.message();
         });
         WebSocketClient ws = open(harness.client());
@@ -485,8 +488,8 @@
         ws.close(4321);
         assertNull(ws.read());
         assertEnded(7);
-        assertEquals(6, counters().in(State.CLOSED_BY_CLIENT));
-        assertEquals(1, counters().in(State.CLOSED_BY_SERVER));
+        assertEquals(6, counters().count(State.CLOSED_BY_CLIENT));
+        assertEquals(1, counters().count(State.CLOSED_BY_SERVER));
     }
 
     /** A reader that does not read pauses its sender; the bytes buffered in the sidecar are bounded. */
@@ -498,7 +501,7 @@
         byte[] payload = new byte[10_000];
         BlockingQueue<Integer> counted = new LinkedBlockingQueue<>();
         PeerStub server = server(seen -> {
-            WebSocketClient ws = WebSocketClient.agree(seen, "");
+            WebSocketClient ws = WebSocketClient.acceptUpgrade(seen, "");
             if (serverReads) {
                 awaitQuietly(release);
                 counted.add(count(ws, messageCount));
@@ -547,7 +550,7 @@
 
     @Test
     void pingsDetectASilentPeer() throws Exception {
-        PeerStub server = server(seen -> WebSocketClient.agree(seen, ""));
+        PeerStub server = server(seen -> WebSocketClient.acceptUpgrade(seen, ""));
         sidecar("ping_interval = \"200ms\"\nping_timeout = \"100ms\"\n", server);
         WebSocketClient ws = open(harness.client());
         // The client answers its pings; the server's script has ended with its socket, or sends nothing.
@@ -556,14 +559,14 @@
             ws.send(10, true, f.payload());
         }
         assertEnded(1);
-        assertEquals(1, counters().in(State.BROKEN));
+        assertEquals(1, counters().count(State.BROKEN));
     }
 
     @Test
     void pongsToTheSidecarsPingsAreNotForwarded() throws Exception {
         BlockingQueue<WebSocketClient.Frame> came = new LinkedBlockingQueue<>();
         PeerStub server = server(seen -> {
-            WebSocketClient ws = WebSocketClient.agree(seen, "");
+            WebSocketClient ws = WebSocketClient.acceptUpgrade(seen, "");
             for (WebSocketClient.Frame f; (f = ws.read()) != null; ) {
                 if (f.opcode() == 9) {
                     ws.send(10, true, f.payload());
@@ -599,7 +602,7 @@
         ws.close(1001);
         assertNull(ws.read());
         assertEnded(1);
-        assertEquals(1, counters().in(State.CLOSED_BY_SIDECAR));
+        assertEquals(1, counters().count(State.CLOSED_BY_SIDECAR));
     }
 
     // ---- Drain, reload, shutdown
@@ -619,7 +622,7 @@
             ws.close(1001);
         }
         assertEquals("x", open(harness.client()).text("x").message().text());
-        assertEquals(1, two.seen.size());
+        assertEquals(1, two.received.size());
     }
 
     /**
@@ -631,7 +634,7 @@
         BlockingQueue<Integer> received = new LinkedBlockingQueue<>();
         PeerStub one = server(seen -> {
             awaitQuietly(release);
-            received.add(WebSocketClient.agree(seen, "").message().code());
+            received.add(WebSocketClient.acceptUpgrade(seen, "").message().code());
         });
         PeerStub two = server(WebSocketClient.echo());
         sidecar("", one);
@@ -665,7 +668,7 @@
         }
         assertTrue(ended.await(10, TimeUnit.SECONDS), "something hangs");
         assertEnded(50);
-        assertEquals(50, counters().in(State.CLOSED_BY_SIDECAR));
+        assertEquals(50, counters().count(State.CLOSED_BY_SIDECAR));
     }
 
     // ---- Faults at every byte
@@ -677,7 +680,8 @@
         PeerStub other = server(WebSocketClient.echo());
         sidecar("", server, other);
         String request = ask("/book/1", UPGRADE_HEADERS);
-        byte[] answer = WebSocketClient.agreed(WebSocketClient.KEY, "").getBytes(StandardCharsets.US_ASCII);
+        byte[] answer =
+                WebSocketClient.switchingProtocols(WebSocketClient.KEY, "").getBytes(StandardCharsets.US_ASCII);
         byte[] frame = WebSocketClient.frame(false, 0x81, "abc".getBytes(StandardCharsets.US_ASCII));
         byte[] whole = Arrays.copyOf(answer, answer.length + frame.length);
         System.arraycopy(frame, 0, whole, answer.length, frame.length);
@@ -718,9 +722,9 @@
             harness.client().raw(request.substring(0, at)).close();
         }
         assertEnded(asked);
-        assertEquals(agreed, counters().in(State.BROKEN), counters().toString());
-        assertEquals(asked - agreed, counters().in(State.FAILED), counters().toString());
-        assertEquals(asked, server.seen.size() + other.seen.size(), "a non-idempotent upgrade was retried");
+        assertEquals(agreed, counters().count(State.BROKEN), counters().toString());
+        assertEquals(asked - agreed, counters().count(State.FAILED), counters().toString());
+        assertEquals(asked, server.received.size() + other.received.size(), "a non-idempotent upgrade was retried");
         assertTrue(harness.stop().await(10, TimeUnit.SECONDS), "an incomplete handshake is left");
     }
 
@@ -807,7 +811,8 @@
     void subprotocolIsNegotiatedWithTheJdkClient() throws Exception {
         PeerStub server = server(seen -> {
             assertEquals("v2, v1", seen.request().headers().get("Sec-WebSocket-Protocol"));
-            WebSocketClient.agree(seen, "Sec-WebSocket-Protocol: v1\r\n").close(1000);
+            WebSocketClient.acceptUpgrade(seen, "Sec-WebSocket-Protocol: v1\r\n")
+                    .close(1000);
         });
         sidecar("", server);
         RecordingListener received = new RecordingListener();
--- a/src/test/java/org/cypressweir/sidecar/admin/RequestClassSlotsTest.java
+++ b/src/test/java/org/cypressweir/sidecar/admin/RequestClassSlotsTest.java
@@ -30,25 +30,25 @@
 
     @Test
     void numbersStayAndAreReusedOnlyWithoutRequests() {
-        List<RequestClass> assigned = RequestClassSlots.place(of("a", "b", "c"), of("c", "d", "a"), Set.of(1));
+        List<RequestClass> assigned = RequestClassSlots.assign(of("a", "b", "c"), of("c", "d", "a"), Set.of(1));
         assertEquals(List.of("a", "", "c", "d"), names(assigned));
         assertEquals(
                 List.of("a", "e", "c", "d"),
-                names(RequestClassSlots.place(assigned, of("a", "c", "d", "e"), Set.of(0, 3))));
+                names(RequestClassSlots.assign(assigned, of("a", "c", "d", "e"), Set.of(0, 3))));
     }
 
     /** A request keeps its class or has none, whenever the change is applied; it never gets another class. */
     @Test
     void theChangeThatRemovesAClassDoesNotReuseItsNumber() {
-        List<RequestClass> assigned = RequestClassSlots.place(of("a", "b"), of("a", "c"), Set.of());
+        List<RequestClass> assigned = RequestClassSlots.assign(of("a", "b"), of("a", "c"), Set.of());
         assertEquals(List.of("a", "", "c"), names(assigned));
-        assertEquals(List.of("a", "d", "c"), names(RequestClassSlots.place(assigned, of("a", "c", "d"), Set.of())));
+        assertEquals(List.of("a", "d", "c"), names(RequestClassSlots.assign(assigned, of("a", "c", "d"), Set.of())));
     }
 
     @Test
     void aClassOfTheSameNameGetsItsNewSettings() {
         List<RequestClass> next = List.of(of("a", Effect.UNSAFE));
-        assertEquals(next, RequestClassSlots.place(of("a"), next, Set.of(0)));
+        assertEquals(next, RequestClassSlots.assign(of("a"), next, Set.of(0)));
     }
 
     /** Random changes: each class has one number, keeps it, and no number in use is given to another class. */
@@ -64,7 +64,7 @@
                     .toArray(String[]::new);
             Set<Integer> inUse =
                     Set.copyOf(random.ints(3, 0, now.size()).boxed().toList());
-            List<RequestClass> next = RequestClassSlots.place(now, of(names), inUse);
+            List<RequestClass> next = RequestClassSlots.assign(now, of(names), inUse);
             for (String name : names) {
                 assertEquals(1, names(next).stream().filter(name::equals).count(), "seed " + seed);
                 int before = names(now).indexOf(name);
@@ -107,11 +107,11 @@
                         6L,
                         "classes",
                         List.of(Map.of("name", "a", "aim_us", 1L), Map.of("name", "b", "aim_us", 2L, "more", true))));
-        assertNull(completeness.fault(good));
-        assertEquals("'settings' is missing", completeness.fault(Map.of("discovery", "b")));
+        assertNull(completeness.findMissing(good));
+        assertEquals("'settings' is missing", completeness.findMissing(Map.of("discovery", "b")));
         assertEquals(
                 "'settings.classes[1].aim_us' is missing",
-                completeness.fault(Map.of(
+                completeness.findMissing(Map.of(
                         "discovery",
                         "b",
                         "settings",
@@ -122,6 +122,7 @@
                                 List.of(Map.of("name", "a", "aim_us", 1L), Map.of("name", "b"))))));
         assertEquals(
                 "'settings.tick_us' is no number",
-                completeness.fault(Map.of("discovery", "b", "settings", Map.of("tick_us", "x", "classes", List.of()))));
+                completeness.findMissing(
+                        Map.of("discovery", "b", "settings", Map.of("tick_us", "x", "classes", List.of()))));
     }
 }
--- a/src/test/java/org/cypressweir/sidecar/admin/SidecarLifecycleTest.java
+++ b/src/test/java/org/cypressweir/sidecar/admin/SidecarLifecycleTest.java
@@ -32,7 +32,7 @@
     private static SidecarLifecycle at(State state) {
         SidecarLifecycle lifecycle = new SidecarLifecycle();
         for (Event e : EVENTS_TO_REACH.get(state)) {
-            assertTrue(lifecycle.on(e));
+            assertTrue(lifecycle.handle(e));
         }
         assertEquals(state, lifecycle.state());
         return lifecycle;
@@ -53,7 +53,7 @@
         State[] expected = {opened, drain, undrain, empty, client, terminate};
         for (Event e : Event.values()) {
             SidecarLifecycle lifecycle = at(from);
-            assertEquals(expected[e.ordinal()] != from, lifecycle.on(e));
+            assertEquals(expected[e.ordinal()] != from, lifecycle.handle(e));
             assertEquals(expected[e.ordinal()], lifecycle.state(), from + " and " + e);
         }
     }
@@ -61,9 +61,9 @@
     @Test
     void onlyServingAcceptsClientsAndOnlyDrainingSendsThemAway() {
         for (State state : State.values()) {
-            assertEquals(state == State.SERVING, at(state).serves());
+            assertEquals(state == State.SERVING, at(state).acceptsClients());
             assertEquals(
-                    state == State.DRAINING || state == State.DRAINED, at(state).drains());
+                    state == State.DRAINING || state == State.DRAINED, at(state).isDraining());
         }
     }
 
@@ -77,12 +77,12 @@
                 metrics,
                 new SidecarMetrics.Fleet() {
                     @Override
-                    public int listed() {
+                    public int listedServers() {
                         return 3;
                     }
 
                     @Override
-                    public int avoided() {
+                    public int avoidedServers() {
                         return 1;
                     }
                 },
@@ -104,11 +104,11 @@
     @Test
     void statsAreOneLineAndAnEndLine() {
         SidecarMetrics metrics = new SidecarMetrics();
-        metrics.show(List.of("search"));
-        metrics.taken();
-        metrics.taken();
-        metrics.ended("book", SidecarMetrics.Ending.REFUSED);
-        metrics.attempted();
+        metrics.addClasses(List.of("search"));
+        metrics.requestReceived();
+        metrics.requestReceived();
+        metrics.requestEnded("book", SidecarMetrics.Ending.REFUSED);
+        metrics.attemptSent();
         metrics.reconfigured(false);
         AdminCommandHandler handler = handler(at(State.SERVING), metrics, true);
         assertEquals(
--- a/src/test/java/org/cypressweir/sidecar/buffering/BodyBudgetTest.java
+++ b/src/test/java/org/cypressweir/sidecar/buffering/BodyBudgetTest.java
@@ -8,54 +8,54 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import org.cypressweir.sidecar.buffering.BodyBudget.Decision;
 import org.cypressweir.sidecar.buffering.BodyBudget.GrantDecisions;
-import org.cypressweir.sidecar.buffering.BodyBudget.Share;
-import org.cypressweir.sidecar.buffering.BodyBudget.Word;
+import org.cypressweir.sidecar.buffering.BodyBudget.Reservation;
 import org.junit.jupiter.api.Test;
 
 class BodyBudgetTest {
 
     private final BodyBudget budget = new BodyBudget(100);
 
-    private Share newReservation() {
-        return budget.share(() -> {}, () -> {});
+    private Reservation newReservation() {
+        return budget.newReservation(() -> {}, () -> {});
     }
 
     @Test
     void waitingRequestsAreGrantedInOrder() {
-        Share a = newReservation();
-        Share b = newReservation();
-        Share c = newReservation();
-        assertEquals(Word.GRANTED, budget.ask(a, 80));
-        assertEquals(Word.WAITS, budget.ask(b, 30));
+        Reservation a = newReservation();
+        Reservation b = newReservation();
+        Reservation c = newReservation();
+        assertEquals(Decision.GRANTED, budget.request(a, 80));
+        assertEquals(Decision.WAITS, budget.request(b, 30));
         // It would fit, but b asked first.
-        assertEquals(Word.WAITS, budget.ask(c, 10));
-        assertEquals(new GrantDecisions(List.of(), List.of()), budget.settle());
-        assertEquals(List.of(b, c), budget.free(a).granted());
-        assertEquals(40, budget.used());
+        assertEquals(Decision.WAITS, budget.request(c, 10));
+        assertEquals(new GrantDecisions(List.of(), List.of()), budget.decideWaiting());
+        assertEquals(List.of(b, c), budget.release(a).granted());
+        assertEquals(40, budget.usedBytes());
     }
 
     @Test
     void requestsLargerThanTheBudgetAreRefused() {
-        assertEquals(Word.REFUSED, budget.ask(newReservation(), 101));
-        Share a = newReservation();
-        assertEquals(Word.GRANTED, budget.ask(a, 60));
-        assertEquals(Word.REFUSED, budget.ask(a, 41));
+        assertEquals(Decision.REFUSED, budget.request(newReservation(), 101));
+        Reservation a = newReservation();
+        assertEquals(Decision.GRANTED, budget.request(a, 60));
+        assertEquals(Decision.REFUSED, budget.request(a, 41));
     }
 
     @Test
     void theNewestHolderIsRefusedIfAllHoldersWait() {
-        Share a = newReservation();
-        Share b = newReservation();
-        assertEquals(Word.GRANTED, budget.ask(a, 50));
-        assertEquals(Word.GRANTED, budget.ask(b, 50));
-        assertEquals(Word.WAITS, budget.ask(b, 10));
-        assertEquals(List.of(), budget.settle().refused());
-        assertEquals(Word.WAITS, budget.ask(a, 10));
-        GrantDecisions decisions = budget.settle();
+        Reservation a = newReservation();
+        Reservation b = newReservation();
+        assertEquals(Decision.GRANTED, budget.request(a, 50));
+        assertEquals(Decision.GRANTED, budget.request(b, 50));
+        assertEquals(Decision.WAITS, budget.request(b, 10));
+        assertEquals(List.of(), budget.decideWaiting().refused());
+        assertEquals(Decision.WAITS, budget.request(a, 10));
+        GrantDecisions decisions = budget.decideWaiting();
         assertEquals(List.of(b), decisions.refused());
         assertEquals(List.of(a), decisions.granted());
-        assertEquals(60, budget.used());
+        assertEquals(60, budget.usedBytes());
     }
 
     /**
@@ -64,17 +64,17 @@
      */
     @Test
     void aRequestReadCompletelyWhileWaitingIsNotRefused() {
-        Share a = newReservation();
-        Share b = newReservation();
-        assertEquals(Word.GRANTED, budget.ask(a, 50));
-        assertEquals(Word.GRANTED, budget.ask(b, 50));
-        assertEquals(Word.WAITS, budget.ask(b, 10));
-        assertEquals(new GrantDecisions(List.of(), List.of()), budget.whole(b, 52));
-        assertEquals(102, budget.used());
-        assertEquals(Word.WAITS, budget.ask(a, 10));
-        assertEquals(new GrantDecisions(List.of(), List.of()), budget.settle());
-        assertEquals(List.of(a), budget.free(b).granted());
-        assertEquals(60, budget.used());
+        Reservation a = newReservation();
+        Reservation b = newReservation();
+        assertEquals(Decision.GRANTED, budget.request(a, 50));
+        assertEquals(Decision.GRANTED, budget.request(b, 50));
+        assertEquals(Decision.WAITS, budget.request(b, 10));
+        assertEquals(new GrantDecisions(List.of(), List.of()), budget.complete(b, 52));
+        assertEquals(102, budget.usedBytes());
+        assertEquals(Decision.WAITS, budget.request(a, 10));
+        assertEquals(new GrantDecisions(List.of(), List.of()), budget.decideWaiting());
+        assertEquals(List.of(a), budget.release(b).granted());
+        assertEquals(60, budget.usedBytes());
     }
 
     /** Random requests: never more is granted than there is, and no request waits for ever. */
@@ -82,30 +82,32 @@
     void memoryIsNeverGrantedTwiceAndNoRequestWaitsForEver() {
         long seed = System.nanoTime();
         SplittableRandom random = new SplittableRandom(seed);
-        Map<Share, Long> granted = new HashMap<>();
-        List<Share> waiting = new ArrayList<>();
+        Map<Reservation, Long> granted = new HashMap<>();
+        List<Reservation> waiting = new ArrayList<>();
         for (int i = 0; i < 20_000; i++) {
-            List<Share> free =
+            List<Reservation> free =
                     granted.keySet().stream().filter(s -> !waiting.contains(s)).toList();
             if (!free.isEmpty() && random.nextInt(3) == 0) {
-                Share ended = free.get(random.nextInt(free.size()));
+                Reservation ended = free.get(random.nextInt(free.size()));
                 granted.remove(ended);
-                apply(budget.free(ended), granted, waiting);
+                apply(budget.release(ended), granted, waiting);
             } else {
                 boolean more = !free.isEmpty() && random.nextBoolean();
-                Share asking = more ? free.get(random.nextInt(free.size())) : newReservation();
+                Reservation asking = more ? free.get(random.nextInt(free.size())) : newReservation();
                 granted.putIfAbsent(asking, 0L);
-                Word decision = budget.ask(asking, 1 + random.nextInt(60));
-                if (decision == Word.WAITS) {
+                Decision decision = budget.request(asking, 1 + random.nextInt(60));
+                if (decision == Decision.WAITS) {
                     waiting.add(asking);
-                    apply(budget.settle(), granted, waiting);
-                } else if (decision == Word.REFUSED) {
+                    apply(budget.decideWaiting(), granted, waiting);
+                } else if (decision == Decision.REFUSED) {
                     granted.remove(asking);
-                    apply(budget.free(asking), granted, waiting);
+                    apply(budget.release(asking), granted, waiting);
                 }
             }
-            long sum = granted.keySet().stream().mapToLong(Share::has).sum();
-            assertEquals(sum, budget.used(), "seed " + seed);
+            long sum = granted.keySet().stream()
+                    .mapToLong(Reservation::grantedBytes)
+                    .sum();
+            assertEquals(sum, budget.usedBytes(), "seed " + seed);
             assertTrue(sum <= 100, "seed " + seed);
             assertEquals(waiting.size(), budget.waiting(), "seed " + seed);
             // At least one request does not wait, so it can end and free its memory.
@@ -113,7 +115,7 @@
         }
     }
 
-    private static void apply(GrantDecisions decisions, Map<Share, Long> granted, List<Share> waiting) {
+    private static void apply(GrantDecisions decisions, Map<Reservation, Long> granted, List<Reservation> waiting) {
         waiting.removeAll(decisions.granted());
         waiting.removeAll(decisions.refused());
         decisions.refused().forEach(granted::remove);
--- a/src/test/java/org/cypressweir/sidecar/cell/CellsTest.java
+++ b/src/test/java/org/cypressweir/sidecar/cell/CellRouterTest.java
@@ -12,19 +12,19 @@
 import org.cypressweir.common.util.Ids;
 import org.cypressweir.loadbalancing.LoadBalancer.Effect;
 import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
-import org.cypressweir.sidecar.cell.Cells.Ticket;
+import org.cypressweir.sidecar.cell.CellRouter.Ticket;
 import org.cypressweir.sidecar.cell.CellsConfiguration.Quarantine;
-import org.cypressweir.testkit.CellPlans;
+import org.cypressweir.testkit.CellConfigurations;
 import org.cypressweir.testkit.CellsFixture;
 import org.junit.jupiter.api.Test;
 
 /** Where requests go in normal operation, during moves and quarantines, and when cells become unhealthy. */
-class CellsTest {
+class CellRouterTest {
 
     private static final long START = 100_000_000;
     private static final long SECOND = 1_000_000;
-    private static final List<Cell> THREE = CellPlans.cells(3);
-    private static final List<Cell> THREE_AND_RESERVED = CellPlans.cellsAndReserve(3);
+    private static final List<Cell> THREE = CellConfigurations.cells(3);
+    private static final List<Cell> THREE_AND_RESERVED = CellConfigurations.cellsAndReserve(3);
 
     private static CellsFixture fixture(CellsConfiguration plan) {
         return new CellsFixture(plan, START, 30);
@@ -49,7 +49,7 @@
 
     @Test
     void aUnitStaysInItsCell() {
-        CellsFixture fixture = fixture(CellPlans.plan(THREE, 0, null));
+        CellsFixture fixture = fixture(CellConfigurations.configuration(THREE, 0, null));
         for (int i = 0; i < 200; i++) {
             String unit = "u" + i % 20;
             for (Effect effect : Effect.values()) {
@@ -66,12 +66,13 @@
 
     @Test
     void aCellWithoutServersIsNoHomeCell() {
-        CellsFixture fixture = new CellsFixture(CellPlans.plan(THREE, Map.of(Ids.of("vip"), 1), 0, null), START, 30);
+        CellsFixture fixture =
+                new CellsFixture(CellConfigurations.configuration(THREE, Map.of(Ids.of("vip"), 1), 0, null), START, 30);
         assertEquals(1, fixture.ask("vip", Effect.UNSAFE).cell());
-        fixture.cells.listed(START + 1, ListKind.COMPLETE, CellPlans.servers(1, 1));
+        fixture.cells.listed(START + 1, ListKind.COMPLETE, CellConfigurations.servers(1, 1));
         // Places stay reserved: a list that is incomplete for a moment moves no unit.
         assertEquals(1, fixture.ask("vip", Effect.UNSAFE).cell());
-        fixture.to(START + 62 * SECOND);
+        fixture.advanceTo(START + 62 * SECOND);
         fixture.cells.sweep(fixture.now);
         int only = fixture.ask("u1", Effect.UNSAFE).cell();
         assertEquals(only, fixture.ask("vip", Effect.UNSAFE).cell());
@@ -84,11 +85,11 @@
     void safeRequestsMoveGraduallyAndWritesAllAtOnce() {
         int from = homeOf("acme", THREE);
         int to = (from + 1) % 3;
-        CellsFixture fixture = fixture(
-                CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START + 10 * SECOND, 20 * SECOND, 0)));
+        CellsFixture fixture = fixture(CellConfigurations.configuration(
+                THREE, 0, null, CellConfigurations.move("acme", to, START + 10 * SECOND, 20 * SECOND, 0)));
         List<Integer> atTargetPerSecond = new ArrayList<>();
         for (int s = 0; s < 40; s++) {
-            fixture.to(START + s * SECOND);
+            fixture.advanceTo(START + s * SECOND);
             int atTarget = 0;
             for (int i = 0; i < 1_000; i++) {
                 Ticket ticket = fixture.ask("acme", Effect.SAFE);
@@ -117,8 +118,9 @@
     void aRestartedSidecarJoinsTheRamp() {
         int from = homeOf("acme", THREE);
         int to = (from + 1) % 3;
-        MoveConfiguration move = CellPlans.move("acme", to, START, 100 * SECOND, 0);
-        CellsFixture restarted = new CellsFixture(CellPlans.plan(THREE, 0, null, move), START + 70 * SECOND, 30);
+        MoveConfiguration move = CellConfigurations.move("acme", to, START, 100 * SECOND, 0);
+        CellsFixture restarted =
+                new CellsFixture(CellConfigurations.configuration(THREE, 0, null, move), START + 70 * SECOND, 30);
         int atTarget = 0;
         for (int i = 0; i < 1_000; i++) {
             atTarget += restarted.ask("acme", Effect.SAFE).cell() == to ? 1 : 0;
@@ -126,10 +128,11 @@
         assertEquals(700, atTarget, 60);
         assertEquals(from, restarted.ask("acme", Effect.UNSAFE).cell());
         // Long after the move, keyed requests may still be retries of requests that this process never saw.
-        CellsFixture late = new CellsFixture(CellPlans.plan(THREE, 0, null, move), START + 500 * SECOND, 30);
+        CellsFixture late =
+                new CellsFixture(CellConfigurations.configuration(THREE, 0, null, move), START + 500 * SECOND, 30);
         assertEquals(to, late.ask("acme", Effect.SAFE).cell());
         assertEquals(from, late.ask("acme", Effect.KEYED).cell());
-        late.to(late.now + CellPlans.WINDOW + SECOND);
+        late.advanceTo(late.now + CellConfigurations.WINDOW_MICROS + SECOND);
         assertEquals(to, late.ask("acme", Effect.KEYED).cell());
     }
 
@@ -137,18 +140,18 @@
     void retriesGoToTheCellOfTheFirstRequest() {
         int from = homeOf("acme", THREE);
         int to = (from + 1) % 3;
-        CellsFixture fixture =
-                fixture(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START + 10 * SECOND, 0, 0)));
-        fixture.to(START + 9 * SECOND);
+        CellsFixture fixture = fixture(CellConfigurations.configuration(
+                THREE, 0, null, CellConfigurations.move("acme", to, START + 10 * SECOND, 0, 0)));
+        fixture.advanceTo(START + 9 * SECOND);
         assertEquals(from, fixture.ask("acme", Effect.KEYED, 77).cell());
-        fixture.to(START + 11 * SECOND);
+        fixture.advanceTo(START + 11 * SECOND);
         assertEquals(to, fixture.ask("acme", Effect.KEYED, 78).cell());
         assertEquals(from, fixture.ask("acme", Effect.KEYED, 77).cell());
         assertEquals(to, fixture.ask("acme", Effect.KEYED, 78).cell());
         // Each retry restarts the deduplication window of the servers.
-        fixture.to(START + 13 * SECOND);
+        fixture.advanceTo(START + 13 * SECOND);
         assertEquals(from, fixture.ask("acme", Effect.KEYED, 77).cell());
-        fixture.to(START + 20 * SECOND);
+        fixture.advanceTo(START + 20 * SECOND);
         assertEquals(to, fixture.ask("acme", Effect.KEYED, 77).cell());
     }
 
@@ -157,12 +160,12 @@
     void theFenceWaitsForWritesAtTheOldCell() {
         int from = homeOf("acme", THREE);
         int to = (from + 1) % 3;
-        CellsFixture fixture =
-                fixture(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START + 10 * SECOND, 0, 500_000)));
-        fixture.to(START + 9 * SECOND);
+        CellsFixture fixture = fixture(CellConfigurations.configuration(
+                THREE, 0, null, CellConfigurations.move("acme", to, START + 10 * SECOND, 0, 500_000)));
+        fixture.advanceTo(START + 9 * SECOND);
         Ticket old = fixture.ask("acme", Effect.UNSAFE);
         assertEquals(from, old.cell());
-        fixture.to(START + 10 * SECOND);
+        fixture.advanceTo(START + 10 * SECOND);
         Ticket held = fixture.ask("acme", Effect.UNSAFE);
         assertEquals(-1, held.cell());
         assertEquals(to, fixture.ask("acme", Effect.SAFE).cell());
@@ -170,7 +173,7 @@
         // A request with little time left until its deadline is not held.
         assertEquals(from, fixture.ask("acme", Effect.UNSAFE, 5_001, 900_000).cell());
         assertEquals(1, fixture.cells.held());
-        fixture.to(fixture.now + 100_000);
+        fixture.advanceTo(fixture.now + 100_000);
         fixture.done(old, true);
         assertTrue(fixture.released.isEmpty(), "the write with the short deadline is still in flight");
     }
@@ -179,15 +182,15 @@
     void heldWritesAreReleasedWhenTheLastOldWriteEnds() {
         int from = homeOf("acme", THREE);
         int to = (from + 1) % 3;
-        CellsFixture fixture =
-                fixture(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START + 10 * SECOND, 0, 500_000)));
-        fixture.to(START + 9 * SECOND);
+        CellsFixture fixture = fixture(CellConfigurations.configuration(
+                THREE, 0, null, CellConfigurations.move("acme", to, START + 10 * SECOND, 0, 500_000)));
+        fixture.advanceTo(START + 9 * SECOND);
         Ticket old = fixture.ask("acme", Effect.UNSAFE);
-        fixture.to(START + 10 * SECOND);
+        fixture.advanceTo(START + 10 * SECOND);
         Ticket first = fixture.ask("acme", Effect.UNSAFE);
         Ticket gone = fixture.ask("acme", Effect.UNSAFE);
         Ticket last = fixture.ask("acme", Effect.KEYED);
-        fixture.cells.left(fixture.now, gone);
+        fixture.cells.cancelHeld(fixture.now, gone);
         fixture.done(old, true);
         assertEquals(List.of(first, last), fixture.released);
         assertEquals(to, first.cell());
@@ -201,21 +204,21 @@
     void expiredFencesAreRetriedAndThenTheMoveIsGivenUp() {
         int from = homeOf("acme", THREE);
         int to = (from + 1) % 3;
-        CellsFixture fixture =
-                fixture(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START + 10 * SECOND, 0, 200_000)));
-        fixture.to(START + 9 * SECOND);
+        CellsFixture fixture = fixture(CellConfigurations.configuration(
+                THREE, 0, null, CellConfigurations.move("acme", to, START + 10 * SECOND, 0, 200_000)));
+        fixture.advanceTo(START + 9 * SECOND);
         fixture.ask("acme", Effect.UNSAFE);
-        fixture.to(START + 10 * SECOND);
+        fixture.advanceTo(START + 10 * SECOND);
         Ticket held = fixture.ask("acme", Effect.UNSAFE);
-        fixture.to(START + 10 * SECOND + 250_000);
+        fixture.advanceTo(START + 10 * SECOND + 250_000);
         assertEquals(List.of(held), fixture.released);
         assertEquals(from, held.cell());
         int holds = 1;
         for (int s = 11; s < 900; s++) {
-            fixture.to(START + s * SECOND);
+            fixture.advanceTo(START + s * SECOND);
             Ticket ticket = fixture.ask("acme", Effect.UNSAFE);
             holds += ticket.cell() < 0 ? 1 : 0;
-            fixture.to(fixture.now + 300_000);
+            fixture.advanceTo(fixture.now + 300_000);
             assertEquals(from, ticket.cell());
         }
         assertTrue(holds <= UnitMigration.MAX_ATTEMPTS + 1, "held " + holds + " times");
@@ -228,13 +231,13 @@
     void afterARestartAFenceWaitsForUnknownWrites() {
         int from = homeOf("acme", THREE);
         int to = (from + 1) % 3;
-        CellsFixture fixture =
-                fixture(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START - 60 * SECOND, 0, 200_000)));
-        fixture.to(START + CellPlans.PATIENCE - 1_000);
+        CellsFixture fixture = fixture(CellConfigurations.configuration(
+                THREE, 0, null, CellConfigurations.move("acme", to, START - 60 * SECOND, 0, 200_000)));
+        fixture.advanceTo(START + CellConfigurations.PATIENCE_MICROS - 1_000);
         Ticket early = fixture.ask("acme", Effect.UNSAFE);
         assertEquals(from, early.cell());
         fixture.done(early, true);
-        fixture.to(START + CellPlans.PATIENCE + SECOND);
+        fixture.advanceTo(START + CellConfigurations.PATIENCE_MICROS + SECOND);
         assertEquals(to, fixture.ask("acme", Effect.UNSAFE).cell());
     }
 
@@ -245,26 +248,26 @@
     void aFreezeRejectsWrites() {
         int from = homeOf("acme", THREE);
         int to = (from + 1) % 3;
-        CellsConfiguration plan =
-                CellPlans.plan(THREE, 0, null, CellPlans.frozen("acme", to, START + 10 * SECOND, 6 * SECOND));
+        CellsConfiguration plan = CellConfigurations.configuration(
+                THREE, 0, null, CellConfigurations.frozen("acme", to, START + 10 * SECOND, 6 * SECOND));
         CellsFixture fixture = fixture(plan);
-        fixture.to(START + 10 * SECOND - 1);
+        fixture.advanceTo(START + 10 * SECOND - 1);
         Ticket before = fixture.ask("acme", Effect.UNSAFE);
         assertEquals(from, before.cell());
-        fixture.to(START + 12 * SECOND);
+        fixture.advanceTo(START + 12 * SECOND);
         Ticket refused = fixture.ask("acme", Effect.UNSAFE);
         assertEquals(-1, refused.cell());
         assertEquals(4 * SECOND, refused.retryAfterMicros());
         assertEquals(4 * SECOND, fixture.ask("acme", Effect.KEYED).retryAfterMicros());
         assertEquals(to, fixture.ask("acme", Effect.SAFE).cell());
         assertEquals(0, fixture.ask("u1", Effect.UNSAFE).retryAfterMicros());
-        fixture.to(START + 16 * SECOND);
+        fixture.advanceTo(START + 16 * SECOND);
         assertEquals(to, fixture.ask("acme", Effect.UNSAFE).cell());
         assertEquals(to, fixture.ask("acme", Effect.KEYED).cell());
         // A sidecar that learns of the freeze late cannot know which writes it has sent: it rejects for the full time.
         CellsFixture late = new CellsFixture(plan, START + 40 * SECOND, 30);
         assertEquals(6 * SECOND, late.ask("acme", Effect.UNSAFE).retryAfterMicros());
-        late.to(START + 46 * SECOND);
+        late.advanceTo(START + 46 * SECOND);
         assertEquals(to, late.ask("acme", Effect.UNSAFE).cell());
     }
 
@@ -273,10 +276,10 @@
     void aFreezeDoesNotRollBack() {
         int to = (homeOf("acme", THREE) + 1) % 3;
         String unitOfTarget = unitOf(to, THREE, 0);
-        CellsFixture fixture =
-                fixture(CellPlans.plan(THREE, 0, null, CellPlans.frozen("acme", to, START + 10 * SECOND, 6 * SECOND)));
+        CellsFixture fixture = fixture(CellConfigurations.configuration(
+                THREE, 0, null, CellConfigurations.frozen("acme", to, START + 10 * SECOND, 6 * SECOND)));
         for (int s = 0; s < 20; s++) {
-            fixture.second(unitOfTarget, Effect.UNSAFE, 50, false);
+            fixture.runSecond(unitOfTarget, Effect.UNSAFE, 50, false);
         }
         assertTrue(fixture.cells.isUnhealthy(to));
         assertEquals(to, fixture.ask("acme", Effect.UNSAFE).cell());
@@ -287,14 +290,14 @@
     void aFreezeKeepsRetriesInTheCellOfTheFirstRequest() {
         int from = homeOf("acme", THREE);
         int to = (from + 1) % 3;
-        CellsFixture fixture =
-                fixture(CellPlans.plan(THREE, 0, null, CellPlans.frozen("acme", to, START + 10 * SECOND, 1 * SECOND)));
-        fixture.to(START + 9 * SECOND);
+        CellsFixture fixture = fixture(CellConfigurations.configuration(
+                THREE, 0, null, CellConfigurations.frozen("acme", to, START + 10 * SECOND, 1 * SECOND)));
+        fixture.advanceTo(START + 9 * SECOND);
         assertEquals(from, fixture.ask("acme", Effect.KEYED, 70_000).cell());
-        fixture.to(START + 10 * SECOND + 500_000);
+        fixture.advanceTo(START + 10 * SECOND + 500_000);
         assertEquals(from, fixture.ask("acme", Effect.KEYED, 70_000).cell());
         assertTrue(fixture.ask("acme", Effect.KEYED, 70_001).retryAfterMicros() > 0);
-        fixture.to(START + 12 * SECOND);
+        fixture.advanceTo(START + 12 * SECOND);
         assertEquals(from, fixture.ask("acme", Effect.KEYED, 70_000).cell());
         assertEquals(to, fixture.ask("acme", Effect.KEYED, 70_001).cell());
     }
@@ -307,10 +310,10 @@
         int from = homeOf("acme", THREE);
         int to = (from + 1) % 3;
         String unitOfTarget = unitOf(to, THREE, 0);
-        CellsFixture fixture =
-                fixture(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START + 5 * SECOND, 60 * SECOND, 0)));
+        CellsFixture fixture = fixture(CellConfigurations.configuration(
+                THREE, 0, null, CellConfigurations.move("acme", to, START + 5 * SECOND, 60 * SECOND, 0)));
         for (int s = 0; s < 20; s++) {
-            fixture.second(unitOfTarget, Effect.UNSAFE, 50, s < 12);
+            fixture.runSecond(unitOfTarget, Effect.UNSAFE, 50, s < 12);
         }
         assertTrue(fixture.cells.isUnhealthy(to));
         assertTrue(fixture.logged("rolls back: cell"));
@@ -318,7 +321,7 @@
             assertEquals(from, fixture.ask("acme", Effect.SAFE).cell());
         }
         for (int s = 0; s < 120; s++) {
-            fixture.second(unitOfTarget, Effect.UNSAFE, 50, true);
+            fixture.runSecond(unitOfTarget, Effect.UNSAFE, 50, true);
         }
         assertFalse(fixture.cells.isUnhealthy(to));
         assertEquals(to, fixture.ask("acme", Effect.UNSAFE).cell());
@@ -328,10 +331,10 @@
 
     @Test
     void onlyFewSafeRequestsSpillOver() {
-        CellsFixture fixture = fixture(CellPlans.plan(THREE_AND_RESERVED, 0.1, null));
+        CellsFixture fixture = fixture(CellConfigurations.configuration(THREE_AND_RESERVED, 0.1, null));
         String unit = unitOf(0, THREE_AND_RESERVED, 0);
         for (int s = 0; s < 5; s++) {
-            fixture.second(unit, Effect.UNSAFE, 50, false);
+            fixture.runSecond(unit, Effect.UNSAFE, 50, false);
         }
         assertTrue(fixture.cells.isUnhealthy(0));
         assertTrue(fixture.logged("cell c0 of pool p is unhealthy"));
@@ -352,10 +355,11 @@
     /** A fraction of the writes stays in the cell, to detect its recovery; keyed requests never spill over. */
     @Test
     void writesSpillOverWhereAllowed() {
-        CellsFixture fixture = fixture(CellPlans.withGuestWrites(CellPlans.plan(THREE_AND_RESERVED, 0.5, null)));
+        CellsFixture fixture = fixture(
+                CellConfigurations.withGuestWrites(CellConfigurations.configuration(THREE_AND_RESERVED, 0.5, null)));
         String unit = unitOf(0, THREE_AND_RESERVED, 0);
         for (int s = 0; s < 5 && !fixture.cells.isUnhealthy(0); s++) {
-            fixture.second(unit, Effect.UNSAFE, 50, false);
+            fixture.runSecond(unit, Effect.UNSAFE, 50, false);
         }
         assertTrue(fixture.cells.isUnhealthy(0));
         int spillover = 0;
@@ -367,13 +371,13 @@
             assertEquals(0, keyed.cell());
             fixture.done(keyed, true);
         }
-        assertEquals(2_000 * (1 - Cells.TRIAL_FRACTION), spillover, 60);
+        assertEquals(2_000 * (1 - CellRouter.TRIAL_FRACTION), spillover, 60);
     }
 
     /** The load that made the cell unhealthy must not spill over to the next cell. */
     @Test
     void aFloodingUnitDoesNotSpillOver() {
-        CellsFixture fixture = fixture(CellPlans.plan(THREE_AND_RESERVED, 0.5, null));
+        CellsFixture fixture = fixture(CellConfigurations.configuration(THREE_AND_RESERVED, 0.5, null));
         List<String> others = List.of(unitOf(0, THREE_AND_RESERVED, 0), unitOf(0, THREE_AND_RESERVED, 1));
         String flooder = unitOf(0, THREE_AND_RESERVED, 2);
         for (int s = 0; s < 60; s++) {
@@ -397,10 +401,10 @@
 
     @Test
     void withoutSpilloverRequestsStay() {
-        CellsFixture fixture = fixture(CellPlans.plan(THREE, 0, null));
+        CellsFixture fixture = fixture(CellConfigurations.configuration(THREE, 0, null));
         String unit = unitOf(0, THREE, 0);
         for (int s = 0; s < 5; s++) {
-            fixture.second(unit, Effect.UNSAFE, 50, false);
+            fixture.runSecond(unit, Effect.UNSAFE, 50, false);
         }
         assertTrue(fixture.cells.isUnhealthy(0));
         assertEquals(0, fixture.ask(unit, Effect.SAFE).cell());
@@ -412,18 +416,19 @@
             CellsFixture fixture, List<String> others, String floodingUnit, int floodFactor, boolean inTime) {
         long end = fixture.now + SECOND;
         for (int i = 0; i < 60; i++) {
-            fixture.to(fixture.now + 10_000);
+            fixture.advanceTo(fixture.now + 10_000);
             fixture.done(fixture.ask(others.get(i % others.size()), Effect.UNSAFE), inTime);
             for (int f = 0; f < floodFactor; f++) {
                 fixture.done(fixture.ask(floodingUnit, Effect.UNSAFE), inTime);
             }
         }
-        fixture.to(end);
+        fixture.advanceTo(end);
     }
 
     @Test
     void aUnitThatFloodsAnUnhealthyCellIsQuarantinedAndReturns() {
-        CellsFixture fixture = fixture(CellPlans.plan(THREE_AND_RESERVED, 0, new Quarantine(3, 0.3, 30 * SECOND)));
+        CellsFixture fixture =
+                fixture(CellConfigurations.configuration(THREE_AND_RESERVED, 0, new Quarantine(3, 0.3, 30 * SECOND)));
         List<String> others = List.of(
                 unitOf(0, THREE_AND_RESERVED, 0),
                 unitOf(0, THREE_AND_RESERVED, 1),
@@ -451,7 +456,8 @@
     /** A cell that becomes unhealthy while its units put their usual load on it: none of them is the cause. */
     @Test
     void withUsualLoadNoUnitIsQuarantined() {
-        CellsFixture fixture = fixture(CellPlans.plan(THREE_AND_RESERVED, 0, new Quarantine(3, 0.3, 30 * SECOND)));
+        CellsFixture fixture =
+                fixture(CellConfigurations.configuration(THREE_AND_RESERVED, 0, new Quarantine(3, 0.3, 30 * SECOND)));
         List<String> others = List.of(unitOf(0, THREE_AND_RESERVED, 0));
         String large = unitOf(0, THREE_AND_RESERVED, 4);
         for (int s = 0; s < 60; s++) {
@@ -467,26 +473,28 @@
     void reconfigurationStartsNewMovesAndKeepsOthersGoing() {
         int from = homeOf("acme", THREE);
         int to = (from + 1) % 3;
-        MoveConfiguration move = CellPlans.move("acme", to, START, 0, 0);
-        CellsFixture fixture = fixture(CellPlans.plan(THREE, 0, null, move));
-        fixture.to(START + 10 * SECOND);
+        MoveConfiguration move = CellConfigurations.move("acme", to, START, 0, 0);
+        CellsFixture fixture = fixture(CellConfigurations.configuration(THREE, 0, null, move));
+        fixture.advanceTo(START + 10 * SECOND);
         assertEquals(to, fixture.ask("acme", Effect.KEYED).cell());
-        fixture.to(START + 20 * SECOND);
+        fixture.advanceTo(START + 20 * SECOND);
         assertEquals(List.of("m-acme DONE c" + to + " 100%"), fixture.cells.describeMigrations(fixture.now));
-        fixture.cells.plan(
+        fixture.cells.reconfigure(
                 fixture.now,
-                CellPlans.plan(
+                CellConfigurations.configuration(
                         THREE,
                         0,
                         null,
                         move,
-                        CellPlans.move("other", (homeOf("other", THREE) + 1) % 3, fixture.now + 5 * SECOND, 0, 0)),
+                        CellConfigurations.move(
+                                "other", (homeOf("other", THREE) + 1) % 3, fixture.now + 5 * SECOND, 0, 0)),
                 1_000);
         assertEquals(
                 "m-acme DONE c" + to + " 100%",
                 fixture.cells.describeMigrations(fixture.now).get(0));
         // The move is replaced by an assignment to its target cell: no request goes elsewhere.
-        fixture.cells.plan(fixture.now, CellPlans.plan(THREE, Map.of(Ids.of("acme"), to), 0, null), 1_000);
+        fixture.cells.reconfigure(
+                fixture.now, CellConfigurations.configuration(THREE, Map.of(Ids.of("acme"), to), 0, null), 1_000);
         assertEquals(to, fixture.ask("acme", Effect.KEYED).cell());
         assertEquals(to, fixture.ask("acme", Effect.UNSAFE).cell());
     }
@@ -496,26 +504,27 @@
     void retriesStayInTheirCellWhenAMoveIsRemoved() {
         int from = homeOf("acme", THREE);
         int to = (from + 1) % 3;
-        CellsFixture fixture = fixture(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START, 0, 0)));
-        fixture.to(START + 20 * SECOND);
+        CellsFixture fixture = fixture(
+                CellConfigurations.configuration(THREE, 0, null, CellConfigurations.move("acme", to, START, 0, 0)));
+        fixture.advanceTo(START + 20 * SECOND);
         assertEquals(to, fixture.ask("acme", Effect.KEYED, 9_000).cell());
-        fixture.cells.plan(fixture.now, CellPlans.plan(THREE, 0, null), 1_000);
+        fixture.cells.reconfigure(fixture.now, CellConfigurations.configuration(THREE, 0, null), 1_000);
         assertEquals(from, fixture.ask("acme", Effect.UNSAFE).cell());
         assertEquals(to, fixture.ask("acme", Effect.KEYED, 9_000).cell());
-        fixture.to(fixture.now + CellPlans.WINDOW - 1);
+        fixture.advanceTo(fixture.now + CellConfigurations.WINDOW_MICROS - 1);
         assertEquals(to, fixture.ask("acme", Effect.KEYED, 9_001).cell());
-        fixture.to(fixture.now + 2);
+        fixture.advanceTo(fixture.now + 2);
         assertEquals(from, fixture.ask("acme", Effect.KEYED, 9_002).cell());
         assertEquals(to, fixture.ask("acme", Effect.KEYED, 9_001).cell());
     }
 
     @Test
     void anAddedCellMovesOnlyWhatItGets() {
-        CellsFixture fixture = fixture(CellPlans.plan(THREE, 0, null));
-        assertTrue(fixture.cells.fits(CellPlans.plan(CellPlans.cells(4), 0, null)));
-        assertFalse(fixture.cells.fits(CellPlans.plan(CellPlans.cells(2), 0, null)));
-        List<CellAssignment.Moved> moved =
-                fixture.cells.plan(fixture.now, CellPlans.plan(CellPlans.cells(4), 0, null), 1_000);
+        CellsFixture fixture = fixture(CellConfigurations.configuration(THREE, 0, null));
+        assertTrue(fixture.cells.canApply(CellConfigurations.configuration(CellConfigurations.cells(4), 0, null)));
+        assertFalse(fixture.cells.canApply(CellConfigurations.configuration(CellConfigurations.cells(2), 0, null)));
+        List<CellAssignment.MovedServer> moved = fixture.cells.reconfigure(
+                fixture.now, CellConfigurations.configuration(CellConfigurations.cells(4), 0, null), 1_000);
         assertTrue(moved.stream().filter(m -> m.to() == 3).count() >= 7);
         for (int i = 0; i < 200; i++) {
             int before = homeOf("u" + i, THREE);
@@ -527,13 +536,13 @@
     @Test
     void closeReleasesHeldRequests() {
         int to = (homeOf("acme", THREE) + 1) % 3;
-        CellsFixture fixture =
-                fixture(CellPlans.plan(THREE, 0, null, CellPlans.move("acme", to, START + 10 * SECOND, 0, 500_000)));
-        fixture.to(START + 9 * SECOND);
+        CellsFixture fixture = fixture(CellConfigurations.configuration(
+                THREE, 0, null, CellConfigurations.move("acme", to, START + 10 * SECOND, 0, 500_000)));
+        fixture.advanceTo(START + 9 * SECOND);
         fixture.ask("acme", Effect.UNSAFE);
-        fixture.to(START + 10 * SECOND);
+        fixture.advanceTo(START + 10 * SECOND);
         Ticket held = fixture.ask("acme", Effect.UNSAFE);
-        fixture.cells.closing(fixture.now);
+        fixture.cells.close(fixture.now);
         assertEquals(List.of(held), fixture.released);
         assertTrue(held.cell() >= 0);
     }
--- a/src/test/java/org/cypressweir/sidecar/cell/CellsRandomWalkTest.java
+++ b/src/test/java/org/cypressweir/sidecar/cell/CellsRandomWalkTest.java
@@ -15,9 +15,9 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Effect;
 import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
 import org.cypressweir.loadbalancing.LoadBalancer.Phase;
-import org.cypressweir.sidecar.cell.Cells.Ticket;
+import org.cypressweir.sidecar.cell.CellRouter.Ticket;
 import org.cypressweir.sidecar.cell.CellsConfiguration.Quarantine;
-import org.cypressweir.testkit.CellPlans;
+import org.cypressweir.testkit.CellConfigurations;
 import org.cypressweir.testkit.CellsFixture;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -57,7 +57,7 @@
             for (int u = 0; u < UNITS; u++) {
                 if (random.nextInt(3) == 0) {
                     long now = fixture == null ? START : fixture.now;
-                    moves.add(CellPlans.move(
+                    moves.add(CellConfigurations.move(
                             "u" + u,
                             random.nextInt(4),
                             now + random.nextInt(20_000_000),
@@ -65,15 +65,15 @@
                             fenced ? 300_000 : 0));
                 }
             }
-            return CellPlans.plan(
-                    CellPlans.cellsAndReserve(3),
+            return CellConfigurations.configuration(
+                    CellConfigurations.cellsAndReserve(3),
                     0.05,
                     random.nextInt(2) == 0 ? null : new Quarantine(3, 0.2, 5_000_000),
                     moves.toArray(MoveConfiguration[]::new));
         }
 
         void step(int n) {
-            fixture.to(fixture.now + random.nextInt(8_000));
+            fixture.advanceTo(fixture.now + random.nextInt(8_000));
             collectReleased();
             int choice = random.nextInt(1_000);
             if (choice < 500) {
@@ -86,7 +86,7 @@
                 fixture.cells.listed(
                         fixture.now,
                         ListKind.CHANGES,
-                        List.of(CellPlans.server(
+                        List.of(CellConfigurations.server(
                                 id, (int) id % 2, random.nextInt(2) == 0 ? Phase.REMOVED : Phase.READY)));
             } else if (choice < 995) {
                 int cell = random.nextInt(4);
@@ -94,10 +94,10 @@
                     slowCells.add(cell);
                 }
             } else if (choice < 996 && random.nextInt(8) == 0) {
-                fixture.cells.plan(fixture.now, randomConfiguration(), CellsFixture.REQUESTS);
+                fixture.cells.reconfigure(fixture.now, randomConfiguration(), CellsFixture.REQUESTS);
             } else if (!held.isEmpty()) {
                 Ticket cancelled = held.keySet().iterator().next();
-                fixture.cells.left(fixture.now, cancelled);
+                fixture.cells.cancelHeld(fixture.now, cancelled);
                 held.remove(cancelled);
             }
             collectReleased();
@@ -140,7 +140,7 @@
             inFlight.add(request);
             if (request.effect == Effect.KEYED) {
                 long[] before = keyedRequests.get(request.token);
-                if (before != null && fixture.now - before[1] < CellPlans.WINDOW) {
+                if (before != null && fixture.now - before[1] < CellConfigurations.WINDOW_MICROS) {
                     assertEquals(
                             before[0],
                             request.ticket.cell(),
@@ -172,7 +172,7 @@
             for (int n = 0; n < STEPS; n++) {
                 walk.step(n);
             }
-            walk.fixture.to(walk.fixture.now + 60_000_000);
+            walk.fixture.advanceTo(walk.fixture.now + 60_000_000);
             walk.collectReleased();
             assertTrue(walk.held.isEmpty(), "held for ever");
             List.copyOf(walk.inFlight).forEach(o -> walk.fixture.done(o.ticket, true));
@@ -193,18 +193,21 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
     void withAFenceWritesNeverRunAtBothCells(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<Cell> cells = CellPlans.cells(3);
+        List<Cell> cells = CellConfigurations.cells(3);
         BitSet open = new BitSet();
         open.set(0, 3);
         int from = new Placement(cells, Map.of(), open).home(Ids.of("acme"));
         int to = (from + 1) % 3;
         CellsFixture fixture = new CellsFixture(
-                CellPlans.plan(cells, 0, null, CellPlans.move("acme", to, START + 6_000_000, 0, 400_000)), START, 24);
+                CellConfigurations.configuration(
+                        cells, 0, null, CellConfigurations.move("acme", to, START + 6_000_000, 0, 400_000)),
+                START,
+                24);
         List<Ticket> inFlight = new ArrayList<>();
         Set<Ticket> held = new HashSet<>();
         int atNew = 0;
         for (int n = 0; n < 12_000; n++) {
-            fixture.to(fixture.now + random.nextInt(10_000));
+            fixture.advanceTo(fixture.now + random.nextInt(10_000));
             fixture.released.forEach(t -> {
                 assertTrue(held.remove(t), "seed " + seed);
                 inFlight.add(t);
--- a/src/test/java/org/cypressweir/sidecar/cell/PlacementTest.java
+++ b/src/test/java/org/cypressweir/sidecar/cell/PlacementTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import org.cypressweir.common.util.Ids;
-import org.cypressweir.testkit.CellPlans;
+import org.cypressweir.testkit.CellConfigurations;
 import org.junit.jupiter.api.Test;
 
 /** Home cells of units. */
@@ -47,8 +47,8 @@
 
     @Test
     void anAddedCellTakesOnlyItsOwnShare() {
-        Placement four = new Placement(CellPlans.cells(4), Map.of(), open(0, 1, 2, 3));
-        Placement five = new Placement(CellPlans.cells(5), Map.of(), open(0, 1, 2, 3, 4));
+        Placement four = new Placement(CellConfigurations.cells(4), Map.of(), open(0, 1, 2, 3));
+        Placement five = new Placement(CellConfigurations.cells(5), Map.of(), open(0, 1, 2, 3, 4));
         int moved = 0;
         for (int i = 0; i < 40_000; i++) {
             if (four.home(unit(i)) != five.home(unit(i))) {
@@ -62,7 +62,7 @@
     /** The spillover of an unhealthy cell must not all go to the same other cell. */
     @Test
     void nextHomeCellsAreSpread() {
-        Placement placement = new Placement(CellPlans.cellsAndReserve(5), Map.of(), open(0, 1, 2, 3, 4, 5));
+        Placement placement = new Placement(CellConfigurations.cellsAndReserve(5), Map.of(), open(0, 1, 2, 3, 4, 5));
         int[] next = new int[6];
         for (int i = 0; i < 40_000; i++) {
             int home = placement.home(unit(i));
@@ -81,20 +81,20 @@
     @Test
     void assignmentsTakePrecedenceOverTheHash() {
         Placement placement =
-                new Placement(CellPlans.cellsAndReserve(2), Map.of(unit(1), 2, unit(2), 1), open(0, 1, 2));
+                new Placement(CellConfigurations.cellsAndReserve(2), Map.of(unit(1), 2, unit(2), 1), open(0, 1, 2));
         assertEquals(2, placement.home(unit(1)));
         assertEquals(1, placement.home(unit(2)));
         // A cell without servers is no home cell, even of units that are assigned to it.
-        Placement without = new Placement(CellPlans.cellsAndReserve(2), Map.of(unit(1), 2), open(0));
+        Placement without = new Placement(CellConfigurations.cellsAndReserve(2), Map.of(unit(1), 2), open(0));
         assertEquals(0, without.home(unit(1)));
     }
 
     @Test
     void withoutServersEveryUnitStillHasAHomeCell() {
-        Placement placement = new Placement(CellPlans.cells(3), Map.of(), open());
+        Placement placement = new Placement(CellConfigurations.cells(3), Map.of(), open());
         int[] counts = counts(placement, 3);
         assertTrue(counts[0] > 0 && counts[1] > 0 && counts[2] > 0);
-        Placement all = new Placement(CellPlans.cells(3), Map.of(), open(0, 1, 2));
+        Placement all = new Placement(CellConfigurations.cells(3), Map.of(), open(0, 1, 2));
         for (int i = 0; i < 1_000; i++) {
             assertEquals(all.home(unit(i)), placement.home(unit(i)));
         }
--- a/src/test/java/org/cypressweir/sidecar/fleetlimits/FleetLimitsTest.java
+++ b/src/test/java/org/cypressweir/sidecar/fleetlimits/FleetLimitsTest.java
@@ -83,12 +83,12 @@
 
     @Test
     void aRoundIsAsLongAsAllInstancesNeed() {
-        assertEquals(7_500_000, limits(3_000, 0, 400).askEveryMicros());
-        assertEquals(0, new FleetLimits(5, 0, 0, 1, 0).askEveryMicros());
+        assertEquals(7_500_000, limits(3_000, 0, 400).pollIntervalMicros());
+        assertEquals(0, new FleetLimits(5, 0, 0, 1, 0).pollIntervalMicros());
         assertThrows(IllegalArgumentException.class, () -> new SlottedPollPacer(new FleetLimits(5, 0, 0, 1, 0)));
         assertThrows(IllegalArgumentException.class, () -> new FleetLimits(5, 5, 0, 1, 0));
-        assertEquals(3_750_000, new SlottedPollPacer(limits(3_000, 0, 400)).patienceMicros());
-        assertEquals(1_000_000, new SlottedPollPacer(limits(10, 0, 400)).patienceMicros());
+        assertEquals(3_750_000, new SlottedPollPacer(limits(3_000, 0, 400)).timeoutMicros());
+        assertEquals(1_000_000, new SlottedPollPacer(limits(10, 0, 400)).timeoutMicros());
     }
 
     /** Some instances keep the remainder of the division, so that all together keep exactly the limit. */
@@ -99,14 +99,14 @@
         int least = Integer.MAX_VALUE;
         int most = 0;
         for (int rank = 0; rank < instances; rank++) {
-            int idle = new FleetLimits(instances, rank, 0, perServer, 0).idle(servers);
+            int idle = new FleetLimits(instances, rank, 0, perServer, 0).maxIdleConnections(servers);
             all += idle;
             least = Math.min(least, idle);
             most = Math.max(most, idle);
         }
         assertEquals((long) servers * perServer, all);
         assertTrue(most - least <= 1);
-        assertEquals(Integer.MAX_VALUE, new FleetLimits(3, 0, 0, Integer.MAX_VALUE, 0).idle(servers));
+        assertEquals(Integer.MAX_VALUE, new FleetLimits(3, 0, 0, Integer.MAX_VALUE, 0).maxIdleConnections(servers));
     }
 
     @Test
@@ -120,7 +120,7 @@
             ProbeBudget budget = new ProbeBudget(limits(instances, rank, 0));
             // Each instance tries to send far more probes than allowed, in bursts.
             for (long now = 0; now < 100 * SECOND; now += 1 + random.nextLong(200_000)) {
-                boolean allowed = budget.spend(now, servers);
+                boolean allowed = budget.trySpend(now, servers);
                 sent += allowed ? 1 : 0;
                 inFirst += allowed && now < SECOND ? 1 : 0;
             }
@@ -128,15 +128,15 @@
         // 2 per second at each of 30 servers: 60 per second for 100 s, less what remains in the buckets.
         assertTrue(sent <= 6_000 && sent > 5_500, "sent " + sent);
         assertTrue(inFirst <= 60, "probes in the first second: " + inFirst);
-        assertTrue(new ProbeBudget(new FleetLimits(5, 0, 0, 1, 0)).spend(0, 1));
+        assertTrue(new ProbeBudget(new FleetLimits(5, 0, 0, 1, 0)).trySpend(0, 1));
     }
 
     @Test
     void theProbeBudgetHasALimitedCapacity() {
         ProbeBudget budget = new ProbeBudget(limits(30, 0, 0));
-        budget.spend(0, 30);
+        budget.trySpend(0, 30);
         int burst = 0;
-        while (budget.spend(1_000 * SECOND, 30)) {
+        while (budget.trySpend(1_000 * SECOND, 30)) {
             burst++;
         }
         assertEquals((int) ProbeBudget.CAPACITY, burst);
@@ -174,13 +174,15 @@
     @Test
     void sharesAreRoundedDownAndProbesAreNotAccumulated() {
         FleetLimits limits = new FleetLimits(5, 0, 0, 15, 2, true);
-        assertEquals(19, limits.idle(4, 0.95 / 3));
-        assertEquals(57, limits.idle(4, 0.95));
-        assertEquals(0, limits.idle(4, 0.01));
-        assertEquals(Integer.MAX_VALUE, new FleetLimits(5, 0, 0, Integer.MAX_VALUE, 0, true).idle(4, 0.01));
+        assertEquals(19, limits.maxIdleConnections(4, 0.95 / 3));
+        assertEquals(57, limits.maxIdleConnections(4, 0.95));
+        assertEquals(0, limits.maxIdleConnections(4, 0.01));
+        assertEquals(
+                Integer.MAX_VALUE, new FleetLimits(5, 0, 0, Integer.MAX_VALUE, 0, true).maxIdleConnections(4, 0.01));
         ProbeBudget budget = new ProbeBudget(limits);
-        budget.spend(0, 4, 0.001);
-        assertFalse(budget.spend(10 * SECOND, 4, 1), "10 s at a minimal share must not count as 10 s at the full rate");
-        assertTrue(budget.spend(11 * SECOND, 4, 1));
+        budget.trySpend(0, 4, 0.001);
+        assertFalse(
+                budget.trySpend(10 * SECOND, 4, 1), "10 s at a minimal share must not count as 10 s at the full rate");
+        assertTrue(budget.trySpend(11 * SECOND, 4, 1));
     }
 }
--- a/src/test/java/org/cypressweir/sidecar/operatorconfig/LimitsPropertyTest.java
+++ b/src/test/java/org/cypressweir/sidecar/operatorconfig/LimitsPropertyTest.java
@@ -97,9 +97,10 @@
                 continue;
             }
             valid++;
-            PoolConfiguration pool = operators.plan().pools().get(0);
+            PoolConfiguration pool = operators.configuration().pools().get(0);
             Settings base = Installations.settings(seed + i);
-            Settings settings = base.with(base.limits().with(pool.requests(), pool.queue(), pool.connections()), false);
+            Settings settings =
+                    base.with(base.limits().with(pool.maxRequests(), pool.maxQueued(), pool.maxConnections()), false);
             LoadBalancerFixture fixture = new LoadBalancerFixture(
                     "seed " + (seed + i) + "\n" + text,
                     settings,
@@ -109,11 +110,11 @@
             for (int n = 0; n < 400; n++) {
                 String name = CLASSES.get(random.nextInt(CLASSES.size()));
                 Target target = operators
-                        .plan()
+                        .configuration()
                         .router()
                         .find(new TestRequest("/" + name + "/1"))
                         .target();
-                fixture.ask(
+                fixture.submit(
                         random.nextLong(3_000_000),
                         "q" + n,
                         target.requestClass(),
@@ -121,12 +122,12 @@
                         target.terms());
             }
             if (random.nextInt(4) == 0) {
-                fixture.after(2_000_000, () -> fixture.module().closing(fixture.now()));
+                fixture.schedule(2_000_000, () -> fixture.module().shutDown(fixture.now()));
             }
             fixture.run();
             retries += fixture.retries();
             hedges += fixture.copies();
-            answered += fixture.ended("served");
+            answered += fixture.countWithOutcome("served");
         }
         assertTrue(
                 retries > 1_000 && hedges > 200 && answered > 10_000,
--- a/src/test/java/org/cypressweir/sidecar/operatorconfig/OperatorsTest.java
+++ b/src/test/java/org/cypressweir/sidecar/operatorconfig/OperatorsTest.java
@@ -10,8 +10,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestPolicy;
 import org.cypressweir.loadbalancing.LoadBalancer.Result;
-import org.cypressweir.loadbalancing.LoadBalancer.Terms;
 import org.cypressweir.sidecar.route.InvalidTargetException;
 import org.cypressweir.sidecar.route.PoolConfiguration;
 import org.cypressweir.sidecar.route.Routable;
@@ -33,9 +33,9 @@
                 + more;
     }
 
-    private static Terms terms(Operators operators, String path) throws Exception {
+    private static RequestPolicy terms(Operators operators, String path) throws Exception {
         return operators
-                .plan()
+                .configuration()
                 .router()
                 .find(new TestRequest("GET", "h", path))
                 .target()
@@ -52,18 +52,19 @@
     @Test
     void unsetLimitsComeFromTheSettings() throws Exception {
         Operators operators = load(POOL + route("s", "search", "") + route("b", "book", ""));
-        Terms safe = terms(operators, "/s/1");
-        assertEquals(6, safe.attempts());
-        assertEquals(0, safe.attemptMicros());
-        assertEquals(0, safe.copies());
+        RequestPolicy safe = terms(operators, "/s/1");
+        assertEquals(6, safe.maxAttempts());
+        assertEquals(0, safe.attemptTimeoutMicros());
+        assertEquals(0, safe.maxHedges());
         assertTrue(safe.retryOn().containsAll(Set.of(Result.ERROR, Result.TIMED_OUT, Result.FULL)));
         assertEquals(
                 Set.of(Result.FULL, Result.NO_CONNECTION, Result.NOT_SENT),
                 terms(operators, "/b/1").retryOn());
-        PoolConfiguration pool = operators.plan().pools().get(0);
-        assertEquals(444, pool.connections());
-        assertEquals(300, pool.requests());
-        assertEquals(8443, operators.plan().listeners().get(0).address().getPort());
+        PoolConfiguration pool = operators.configuration().pools().get(0);
+        assertEquals(444, pool.maxConnections());
+        assertEquals(300, pool.maxRequests());
+        assertEquals(
+                8443, operators.configuration().listeners().get(0).address().getPort());
     }
 
     @Test
@@ -71,10 +72,10 @@
         Operators operators = load(POOL + "attempts = 3\nattempt_timeout = \"400ms\"\n"
                 + "[classes.search]\nattempts = 5\ntimeout = \"1400ms\"\nretry_on = [\"error\"]\n"
                 + route("s", "search", "") + route("t", "search", "attempts = 2\nretry_on = []\n"));
-        assertEquals(3, terms(operators, "/s/1").attempts());
-        assertEquals(400_000, terms(operators, "/s/1").attemptMicros());
+        assertEquals(3, terms(operators, "/s/1").maxAttempts());
+        assertEquals(400_000, terms(operators, "/s/1").attemptTimeoutMicros());
         assertEquals(Set.of(Result.ERROR), terms(operators, "/s/1").retryOn());
-        assertEquals(2, terms(operators, "/t/1").attempts());
+        assertEquals(2, terms(operators, "/t/1").maxAttempts());
         assertEquals(Set.of(), terms(operators, "/t/1").retryOn());
     }
 
@@ -87,13 +88,13 @@
                 + route("u", "search", "").replace("\"p\"", "\"r\""));
         assertEquals(
                 List.of(144, 150, 150),
-                operators.plan().pools().stream()
-                        .map(PoolConfiguration::connections)
+                operators.configuration().pools().stream()
+                        .map(PoolConfiguration::maxConnections)
                         .toList());
         assertEquals(
                 List.of(100, 100, 100),
-                operators.plan().pools().stream()
-                        .map(PoolConfiguration::requests)
+                operators.configuration().pools().stream()
+                        .map(PoolConfiguration::maxRequests)
                         .toList());
     }
 
--- a/src/test/java/org/cypressweir/sidecar/plugin/InvocationDeadlineTest.java
+++ b/src/test/java/org/cypressweir/sidecar/plugin/InvocationDeadlineTest.java
@@ -31,7 +31,7 @@
         "100, 900, 0, 100",
     })
     void remainingWait(long deadline, long waited, long used, long more) {
-        assertEquals(more, new InvocationDeadline(deadline).more(waited, used));
+        assertEquals(more, new InvocationDeadline(deadline).remainingWaitMicros(waited, used));
     }
 
     /** Whatever CPU time the thread gets, the wait ends within its limit and never before the deadline. */
@@ -43,7 +43,7 @@
         long waited = 0;
         long used = 0;
         int checks = 0;
-        for (long more; (more = invocationDeadline.more(waited, used)) > 0; checks++) {
+        for (long more; (more = invocationDeadline.remainingWaitMicros(waited, used)) > 0; checks++) {
             waited += more;
             used += (long) (more * random.nextDouble());
         }
--- a/src/test/java/org/cypressweir/sidecar/plugin/PluginHostTest.java
+++ b/src/test/java/org/cypressweir/sidecar/plugin/PluginHostTest.java
@@ -44,9 +44,9 @@
 
     private PluginHost.Call submit(String module, PluginGrant grant, Map<String, String> config) throws Exception {
         if (host == null) {
-            host = new PluginHost(PluginModules.plan(module, grant, config), Runnable::run);
+            host = new PluginHost(PluginModules.configuration(module, grant, config), Runnable::run);
         }
-        return host.ask(REQUEST, new PluginHost.Heard() {
+        return host.submit(REQUEST, new PluginHost.ResultListener() {
             @Override
             public void done(RequestedChanges changes) {
                 results.add(changes);
@@ -170,22 +170,22 @@
         PluginHost.Call call = submit("grow", FULL_GRANT, Map.of());
         // It requests more memory until it is stopped; its page limit bounds what it gets.
         assertNull(results.poll(300, TimeUnit.MILLISECONDS));
-        assertTrue(call.withdraw());
+        assertTrue(call.cancel());
     }
 
     @Test
     void endlessLoopIsInterruptedAndTheHostStaysUsable() throws Exception {
         PluginHost.Call call = submit("loop", FULL_GRANT, Map.of());
         assertNull(results.poll(100, TimeUnit.MILLISECONDS));
-        assertTrue(call.withdraw());
+        assertTrue(call.cancel());
         PluginHost.Call second = submit("loop", FULL_GRANT, Map.of());
         assertNull(results.poll(100, TimeUnit.MILLISECONDS));
-        assertTrue(second.withdraw());
+        assertTrue(second.cancel());
         assertEquals(0, results.size());
         host.close();
         PluginHost.Call late = submit("loop", FULL_GRANT, Map.of());
         assertEquals("the plug-in is closed", results());
-        assertTrue(!late.withdraw());
+        assertTrue(!late.cancel());
     }
 
     /**
@@ -206,7 +206,7 @@
                 for (int spin = random.nextInt(2_000); spin > 0; spin--) {
                     Thread.onSpinWait();
                 }
-                due += call.withdraw() ? 0 : 1;
+                due += call.cancel() ? 0 : 1;
             }
             submit("log-header", FULL_GRANT, Map.of());
             for (; due >= 0; due--) {
@@ -226,7 +226,7 @@
             submit("loop", FULL_GRANT, Map.of());
         }
         assertTrue(String.valueOf(results()).contains("calls are queued"));
-        assertTrue(first.withdraw());
+        assertTrue(first.cancel());
     }
 
     // ---- Invalid modules
@@ -244,7 +244,7 @@
     void invalidModulesAreRejectedWithTheReason(String module, String reason) throws Exception {
         InvalidPluginException e = assertThrows(
                 InvalidPluginException.class,
-                () -> new PluginHost(PluginModules.plan(module, FULL_GRANT, Map.of()), Runnable::run));
+                () -> new PluginHost(PluginModules.configuration(module, FULL_GRANT, Map.of()), Runnable::run));
         assertTrue(e.getMessage().contains(reason), e.getMessage());
     }
 
@@ -267,7 +267,7 @@
                     new PluginConfiguration("m", 1, bad, 5_000, 32, false, FULL_GRANT, Map.of());
             try (PluginHost mutant = new PluginHost(configuration, Runnable::run)) {
                 BlockingQueue<Object> result = new LinkedBlockingQueue<>();
-                PluginHost.Call call = mutant.ask(REQUEST, new PluginHost.Heard() {
+                PluginHost.Call call = mutant.submit(REQUEST, new PluginHost.ResultListener() {
                     @Override
                     public void done(RequestedChanges changes) {
                         result.add(changes);
@@ -280,7 +280,7 @@
                 });
                 Object first = result.poll(100, TimeUnit.MILLISECONDS);
                 if (first == null) {
-                    assertTrue(call.withdraw() || result.poll(5, TimeUnit.SECONDS) != null, "seed " + seed);
+                    assertTrue(call.cancel() || result.poll(5, TimeUnit.SECONDS) != null, "seed " + seed);
                 } else if (first instanceof RequestedChanges changes) {
                     assertTrue(changes.requestClass() == null
                             || FULL_GRANT.classes().contains(changes.requestClass()));
@@ -307,13 +307,13 @@
         assertTrue(health.mayCall(now + PluginHealth.FIRST_SUSPENSION_MICROS));
         now += PluginHealth.FIRST_SUSPENSION_MICROS;
         assertTrue(health.failed(now), "one failure after a suspension suspends it again");
-        assertEquals(now + 2 * PluginHealth.FIRST_SUSPENSION_MICROS, health.outUntil());
+        assertEquals(now + 2 * PluginHealth.FIRST_SUSPENSION_MICROS, health.suspendedUntil());
         for (int i = 0; i < 20; i++) {
-            now = health.outUntil();
+            now = health.suspendedUntil();
             health.failed(now);
         }
-        assertEquals(PluginHealth.FIRST_SUSPENSION_MICROS << PluginHealth.MAX_DOUBLINGS, health.outUntil() - now);
-        health.well();
+        assertEquals(PluginHealth.FIRST_SUSPENSION_MICROS << PluginHealth.MAX_DOUBLINGS, health.suspendedUntil() - now);
+        health.succeeded();
         assertTrue(!health.failed(now));
     }
 }
--- a/src/test/java/org/cypressweir/sidecar/websocket/UpgradeAccountTest.java
+++ b/src/test/java/org/cypressweir/sidecar/websocket/UpgradeAccountTest.java
@@ -19,7 +19,7 @@
         for (State state : State.values()) {
             for (Event event : Event.values()) {
                 State next = UpgradeAccount.next(state, event);
-                assertTrue(!state.isLast() || next == state, state + " on " + event);
+                assertTrue(!state.isFinal() || next == state, state + " on " + event);
                 if (next == State.OPEN && state != State.OPEN) {
                     assertEquals(State.TRIED, state);
                     assertEquals(Event.OPEN, event);
@@ -35,7 +35,7 @@
     void everyStateReachesAFinalOne() {
         for (State state : State.values()) {
             State end = UpgradeAccount.next(UpgradeAccount.next(state, Event.LEAVE), Event.END);
-            assertTrue(end.isLast(), state + " stays at " + end);
+            assertTrue(end.isFinal(), state + " stays at " + end);
         }
     }
 
@@ -49,21 +49,21 @@
             UpgradeAccount account = new UpgradeAccount(counters);
             for (int n = random.nextInt(12); n > 0; n--) {
                 Event event = Event.values()[random.nextInt(Event.values().length)];
-                boolean last = account.state().isLast();
+                boolean last = account.state().isFinal();
                 State before = account.state();
-                seen.add(account.on(event));
+                seen.add(account.apply(event));
                 assertTrue(!last || account.state() == before, "seed " + seed);
             }
-            account.on(Event.LEAVE);
-            account.on(Event.END);
-            assertTrue(account.state().isLast());
-            assertTrue(counters.addUp(), "seed " + seed + ": " + counters);
+            account.apply(Event.LEAVE);
+            account.apply(Event.END);
+            assertTrue(account.state().isFinal());
+            assertTrue(counters.isConsistent(), "seed " + seed + ": " + counters);
         }
         assertEquals(20_000, counters.asked());
         long ended = 0;
         for (State state : State.values()) {
-            ended += state.isLast() ? counters.in(state) : 0;
-            assertTrue(state.isLast() || counters.in(state) == 0, state.toString());
+            ended += state.isFinal() ? counters.count(state) : 0;
+            assertTrue(state.isFinal() || counters.count(state) == 0, state.toString());
         }
         assertEquals(20_000, ended);
         assertEquals(EnumSet.allOf(State.class), seen);
--- a/src/test/java/org/cypressweir/simulation/CellsSimulationTest.java
+++ b/src/test/java/org/cypressweir/simulation/CellsSimulationTest.java
@@ -19,29 +19,29 @@
     @ParameterizedTest
     @EnumSource(Harm.class)
     void everyRequestHasOneAnswerAndNoWriteRunsTwice(Harm harm) {
-        Report r = CellsSimulation.play(scenario(4, 0.1, true, harm, 0.25));
-        assertTrue(r.asked() > 20_000, "asked " + r.asked());
+        Report r = CellsSimulation.run(scenario(4, 0.1, true, harm, 0.25));
+        assertTrue(r.requests() > 20_000, "asked " + r.requests());
         assertEquals(0, r.unanswered());
-        assertEquals(0, r.twice());
+        assertEquals(0, r.duplicateWrites());
         assertTrue(r.inTimeBefore() > 0.9, "in time before any harm: " + r.inTimeBefore());
     }
 
     @Test
     void theSameScenarioGivesTheSameReport() {
         Scenario s = scenario(4, 0.1, true, Harm.FLOOD, 0.6);
-        assertEquals(CellsSimulation.play(s), CellsSimulation.play(s));
+        assertEquals(CellsSimulation.run(s), CellsSimulation.run(s));
     }
 
     /** With n cells, a flood that would overload the whole pool affects about one unit in n. */
     @Test
     void harmIsConfinedToOneCell() {
-        Report onePool = CellsSimulation.play(scenario(1, 0, false, Harm.FLOOD, 1.5));
-        Report fourCells = CellsSimulation.play(scenario(4, 0, false, Harm.FLOOD, 1.5));
-        Report withGuestsAndQuarantine = CellsSimulation.play(scenario(4, 0.1, true, Harm.FLOOD, 1.5));
-        assertTrue(onePool.noticed() > 0.5, "without cells " + onePool);
-        assertTrue(fourCells.noticed() < 0.35, "with four " + fourCells);
+        Report onePool = CellsSimulation.run(scenario(1, 0, false, Harm.FLOOD, 1.5));
+        Report fourCells = CellsSimulation.run(scenario(4, 0, false, Harm.FLOOD, 1.5));
+        Report withGuestsAndQuarantine = CellsSimulation.run(scenario(4, 0.1, true, Harm.FLOOD, 1.5));
+        assertTrue(onePool.noticedShare() > 0.5, "without cells " + onePool);
+        assertTrue(fourCells.noticedShare() < 0.35, "with four " + fourCells);
         assertTrue(
-                withGuestsAndQuarantine.noticed() < fourCells.noticed() / 2,
+                withGuestsAndQuarantine.noticedShare() < fourCells.noticedShare() / 2,
                 "with guests and quarantine " + withGuestsAndQuarantine);
         assertTrue(fourCells.worthWith() > onePool.worthWith());
     }
@@ -51,10 +51,10 @@
     void aFreezePreventsOverlappingWritesAcrossSidecars() {
         Scenario moved = new Scenario(48, 6, 50, 1.0, 0.5, 4, 0, false, Harm.MOVE, 0, 36, 7);
         Scenario frozen = new Scenario(48, 6, 50, 1.0, 0.5, 4, 0, false, Harm.FROZEN_MOVE, 0, 36, 7);
-        assertTrue(CellsSimulation.play(moved).both() > 0);
-        Report r = CellsSimulation.play(frozen);
-        assertEquals(0, r.both());
-        assertEquals(0, r.noticed());
+        assertTrue(CellsSimulation.run(moved).overlappingWrites() > 0);
+        Report r = CellsSimulation.run(frozen);
+        assertEquals(0, r.overlappingWrites());
+        assertEquals(0, r.noticedShare());
     }
 
     @Test
--- a/src/test/java/org/cypressweir/simulation/LeaseChecks.java
+++ b/src/test/java/org/cypressweir/simulation/LeaseChecks.java
@@ -63,7 +63,7 @@
                     fleet.updateMembers();
                 }
                 fleet.run(random.nextLong(2 * TERM_MICROS));
-                List<String> violations = fleet.history.wrong();
+                List<String> violations = fleet.history.violations();
                 require(violations.isEmpty(), "run " + run + " step " + step + ": " + violations, seed);
             }
             require(fleet.history.count() > 0, "no lease was ever held in run " + run, seed);
@@ -133,7 +133,7 @@
                 require(fleet.network.now() - startedAt < 2 * TERM_MICROS, "no holder after two terms", seed);
             }
         }
-        require(fleet.history.wrong().isEmpty(), fleet.history.wrong().toString(), seed);
+        require(fleet.history.violations().isEmpty(), fleet.history.violations().toString(), seed);
     }
 
     /** A holder that can only send or only receive loses the lease, and another holds it while the partition lasts. */
@@ -165,7 +165,10 @@
                     fleet.unheldMicros.size() <= 5,
                     "lost " + fleet.unheldMicros.size() + " times during the partition",
                     seed);
-            require(fleet.history.wrong().isEmpty(), fleet.history.wrong().toString(), seed);
+            require(
+                    fleet.history.violations().isEmpty(),
+                    fleet.history.violations().toString(),
+                    seed);
         }
     }
 
@@ -201,7 +204,7 @@
                 fleet.holder("task0") >= 0 && fleet.holder("task0") != holder,
                 "no other process took over the lease",
                 seed);
-        require(fleet.history.wrong().isEmpty(), fleet.history.wrong().toString(), seed);
+        require(fleet.history.violations().isEmpty(), fleet.history.violations().toString(), seed);
     }
 
     /** One grantor restarts without its state while another never saw the tokens: used tokens are not granted again. */
@@ -226,12 +229,12 @@
         }
         fleet.network.setPartition((from, to) -> from != 1 && to != 1);
         fleet.run(12 * TERM_MICROS);
-        require(fleet.history.wrong().isEmpty(), fleet.history.wrong().toString(), seed);
+        require(fleet.history.violations().isEmpty(), fleet.history.violations().toString(), seed);
         fleet.network.setPartition((from, to) -> true);
         fleet.run(4 * TERM_MICROS);
         require(
-                fleet.allHeld() && fleet.history.wrong().isEmpty(),
-                "after the partition healed: " + fleet.history.wrong(),
+                fleet.allHeld() && fleet.history.violations().isEmpty(),
+                "after the partition healed: " + fleet.history.violations(),
                 seed);
     }
 
@@ -271,7 +274,10 @@
                         "a safe reconfiguration was rejected",
                         seed);
                 fleet.run(random.nextLong(3 * TERM_MICROS));
-                require(fleet.history.wrong().isEmpty(), fleet.history.wrong().toString(), seed);
+                require(
+                        fleet.history.violations().isEmpty(),
+                        fleet.history.violations().toString(),
+                        seed);
             }
             fleet.network.setPartition((from, to) -> true);
             fleet.run(4 * TERM_MICROS);
@@ -315,7 +321,7 @@
             fleet.updateMembers();
             fleet.run(4 * TERM_MICROS);
         }
-        require(fleet.history.wrong().isEmpty(), fleet.history.wrong().toString(), seed);
+        require(fleet.history.violations().isEmpty(), fleet.history.violations().toString(), seed);
     }
 
     /** A leaving holder hands its leases over at once; a joining process takes over no more than its share. */
@@ -364,6 +370,6 @@
             process.leases.rejoin();
             fleet.run(TERM_MICROS);
         }
-        require(fleet.history.wrong().isEmpty(), fleet.history.wrong().toString(), seed);
+        require(fleet.history.violations().isEmpty(), fleet.history.violations().toString(), seed);
     }
 }
--- a/src/test/java/org/cypressweir/simulation/LeaseTest.java
+++ b/src/test/java/org/cypressweir/simulation/LeaseTest.java
@@ -50,24 +50,24 @@
     @Test
     void violationsInHistoriesAreDetected() {
         LeaseHistory overlap = new LeaseHistory();
-        overlap.act("l", "a", 10, 1);
-        overlap.act("l", "b", 10, 2);
-        assertEquals(1, overlap.wrong().size());
+        overlap.recordAct("l", "a", 10, 1);
+        overlap.recordAct("l", "b", 10, 2);
+        assertEquals(1, overlap.violations().size());
         LeaseHistory repeatedToken = new LeaseHistory();
-        repeatedToken.act("l", "a", 10, 5);
-        repeatedToken.act("l", "b", 11, 5);
-        assertEquals(1, repeatedToken.wrong().size());
+        repeatedToken.recordAct("l", "a", 10, 5);
+        repeatedToken.recordAct("l", "b", 11, 5);
+        assertEquals(1, repeatedToken.violations().size());
         LeaseHistory returningHolder = new LeaseHistory();
-        returningHolder.act("l", "a", 10, 5);
-        returningHolder.act("l", "b", 11, 6);
-        returningHolder.act("l", "a", 12, 5);
-        assertEquals(2, returningHolder.wrong().size());
+        returningHolder.recordAct("l", "a", 10, 5);
+        returningHolder.recordAct("l", "b", 11, 6);
+        returningHolder.recordAct("l", "a", 12, 5);
+        assertEquals(2, returningHolder.violations().size());
         LeaseHistory valid = new LeaseHistory();
-        valid.act("l", "a", 10, 5);
-        valid.act("m", "b", 10, 5);
-        valid.act("l", "a", 11, 5);
-        valid.act("l", "b", 12, 6);
-        valid.act("l", "a", 13, 7);
-        assertEquals(List.of(), valid.wrong());
+        valid.recordAct("l", "a", 10, 5);
+        valid.recordAct("m", "b", 10, 5);
+        valid.recordAct("l", "a", 11, 5);
+        valid.recordAct("l", "b", 12, 6);
+        valid.recordAct("l", "a", 13, 7);
+        assertEquals(List.of(), valid.violations());
     }
 }
--- a/src/test/java/org/cypressweir/simulation/LendingTest.java
+++ b/src/test/java/org/cypressweir/simulation/LendingTest.java
@@ -68,7 +68,7 @@
         }
 
         @Override
-        public long known() {
+        public long knownRevision() {
             return revision;
         }
 
@@ -90,7 +90,7 @@
 
     private LendingProcess startSeeking(long known) {
         LendingProcess starter = new LendingProcess(known);
-        starter.lending.seek(known);
+        starter.lending.startSeeking(known);
         return starter;
     }
 
@@ -172,7 +172,7 @@
         run(5 * SECOND_MICROS);
         assertEquals(0, starter.loans.size());
         assertTrue(network.sent(starter.node) > 0, "no request was sent");
-        starter.lending.end();
+        starter.lending.stopSeeking();
         long sent = network.sent(starter.node);
         run(30 * SECOND_MICROS);
         assertEquals(sent, network.sent(starter.node));
--- a/src/test/java/org/cypressweir/simulation/MembershipChecks.java
+++ b/src/test/java/org/cypressweir/simulation/MembershipChecks.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
-import org.cypressweir.fleet.membership.Change;
 import org.cypressweir.fleet.membership.MemberRecord;
 import org.cypressweir.fleet.membership.MemberStatus;
+import org.cypressweir.fleet.membership.MembershipChange;
 import org.cypressweir.fleet.membership.MembershipMessage;
 import org.cypressweir.fleet.membership.MembershipProtocol;
 import org.cypressweir.fleet.membership.Peer;
@@ -115,7 +115,7 @@
 
     private static long countOut(MembershipSimulation fleet) {
         return fleet.changes.stream()
-                .filter(s -> s.change().kind() == Change.Kind.OUT)
+                .filter(s -> s.change().kind() == MembershipChange.Kind.OUT)
                 .count();
     }
 
@@ -282,7 +282,7 @@
         require(fleet.agree(rest, rest), "leaving was not detected", fleet);
         require(
                 fleet.changes.size() == 8
-                        && fleet.changes.stream().allMatch(s -> s.change().kind() == Change.Kind.LEFT),
+                        && fleet.changes.stream().allMatch(s -> s.change().kind() == MembershipChange.Kind.LEFT),
                 "leaving was reported as another change",
                 fleet);
         fleet.run(4 * PAUSE_MICROS);
--- a/src/test/java/org/cypressweir/simulation/PlantedFaultsTest.java
+++ b/src/test/java/org/cypressweir/simulation/PlantedFaultsTest.java
@@ -82,18 +82,18 @@
     @CsvSource(
             delimiter = '~',
             value = {
-                "a part grows at once ~ ShareRequest.java ~ majoritySince <= now - releaseMicros "
+                "a part grows at once ~ ShareClaim.java ~ majoritySince <= now - releaseMicros "
                         + "~ majoritySince <= now",
-                "voters release too early ~ ShareRequest.java ~ RELEASE_HOLDS = 2.2; ~ RELEASE_HOLDS = 0.7;",
+                "voters release too early ~ ShareClaim.java ~ RELEASE_HOLDS = 2.2; ~ RELEASE_HOLDS = 0.7;",
                 "a voter does not wait after its start ~ ShareVoter.java ~ if (now < silentUntil || ~ if (",
-                "a grant counts for longer than the hold ~ ShareRequest.java "
+                "a grant counts for longer than the hold ~ ShareClaim.java "
                         + "~ current += isCurrent(now, voter) ? 1 : 0; "
                         + "~ current += now - requestedAt[voter] < 3 * holdMicros ? 1 : 0;",
-                "what a stopped process has open is forgotten ~ ShareRequest.java "
+                "what a stopped process has open is forgotten ~ ShareClaim.java "
                         + "~ + CLOCK_TOLERANCE * lingerMicros ~ + 0",
-                "a minority is enough ~ ShareRequest.java ~ 2 * currentGrants(now) > requestedAt.length "
+                "a minority is enough ~ ShareClaim.java ~ 2 * currentGrants(now) > requestedAt.length "
                         + "~ currentGrants(now) > 0",
-                "what voters count differently is taken for the same ~ ShareRequest.java "
+                "what voters count differently is taken for the same ~ ShareClaim.java "
                         + "~ isSameDigest ? largest : sum "
                         + "~ largest",
             })
--- a/src/test/java/org/cypressweir/simulation/ShareChecks.java
+++ b/src/test/java/org/cypressweir/simulation/ShareChecks.java
@@ -5,8 +5,8 @@
 import java.util.stream.IntStream;
 import org.cypressweir.fleet.membership.MembershipMessage;
 import org.cypressweir.fleet.membership.Peer;
+import org.cypressweir.fleet.membership.ShareClaim;
 import org.cypressweir.fleet.membership.ShareOptions;
-import org.cypressweir.fleet.membership.ShareRequest;
 import org.cypressweir.fleet.membership.ShareRequester;
 
 /** Checks that shares never add up to more than the whole, in small simulated fleets with faults and clock drift. */
@@ -110,7 +110,7 @@
         }
 
         double share() {
-            return requester.part(clock());
+            return requester.fraction(clock());
         }
 
         void pause() {
@@ -223,17 +223,17 @@
     /** Connected processes get equal shares; once half are gone, the rest gets their shares within the release time. */
     private static void whatIsLeftIsUsed(long seed) {
         SimulatedFleet fleet = new SimulatedFleet(seed, 8, 3, 0, 0);
-        fleet.run(3 * ShareRequest.releaseMicros(HOLD_MICROS, 0));
+        fleet.run(3 * ShareClaim.releaseMicros(HOLD_MICROS, 0));
         require(
-                Math.abs(fleet.smallestShare() - ShareRequest.CLAIMABLE_PART / 8) < 1e-9,
+                Math.abs(fleet.smallestShare() - ShareClaim.CLAIMABLE_FRACTION / 8) < 1e-9,
                 "the smallest share is " + fleet.smallestShare() + " with eight processes",
                 seed);
         for (int i = 4; i < 8; i++) {
             fleet.network.kill(i);
         }
-        fleet.run(ShareRequest.releaseMicros(HOLD_MICROS, 0) + HOLD_MICROS / 2);
+        fleet.run(ShareClaim.releaseMicros(HOLD_MICROS, 0) + HOLD_MICROS / 2);
         require(
-                Math.abs(fleet.smallestShare() - ShareRequest.CLAIMABLE_PART / 4) < 1e-9,
+                Math.abs(fleet.smallestShare() - ShareClaim.CLAIMABLE_FRACTION / 4) < 1e-9,
                 "the smallest share is " + fleet.smallestShare() + " with four processes",
                 seed);
         fleet.network.kill(0);
--- a/src/test/java/org/cypressweir/simulation/ShareTest.java
+++ b/src/test/java/org/cypressweir/simulation/ShareTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.stream.LongStream;
-import org.cypressweir.fleet.membership.ShareRequest;
+import org.cypressweir.fleet.membership.ShareClaim;
 import org.cypressweir.fleet.membership.ShareVoter;
 import org.junit.jupiter.api.Test;
 
@@ -45,13 +45,13 @@
 
     @Test
     void differingCountsOfVotersAreAddedUp() {
-        ShareRequest request = new ShareRequest(3, 1_000, 0, 10);
+        ShareClaim request = new ShareClaim(3, 1_000, 0, 10);
         for (long at = 0; at <= 4_000; at += 500) {
             request.receiveGrant(at, 0, at, new ShareVoter.Grant(4, 77));
             request.receiveGrant(at, 1, at, new ShareVoter.Grant(4, at < 4_000 ? 77 : 78));
         }
         assertEquals(8, request.processCount(4_000));
-        assertEquals(ShareRequest.CLAIMABLE_PART / 8, request.part(4_000));
-        assertEquals(0.005, request.part(5_000), 1e-9, "minimum share without a quorum of voters");
+        assertEquals(ShareClaim.CLAIMABLE_FRACTION / 8, request.fraction(4_000));
+        assertEquals(0.005, request.fraction(5_000), 1e-9, "minimum share without a quorum of voters");
     }
 }
--- a/src/test/java/org/cypressweir/simulation/ShareWalk.java
+++ b/src/test/java/org/cypressweir/simulation/ShareWalk.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.cypressweir.common.util.Hashes;
 import org.cypressweir.common.util.Ids;
-import org.cypressweir.fleet.membership.ShareRequest;
+import org.cypressweir.fleet.membership.ShareClaim;
 import org.cypressweir.fleet.membership.ShareVoter;
 import org.cypressweir.fleet.membership.ShareVoter.Grant;
 
@@ -41,7 +41,7 @@
         int turn;
         int restartsLeft;
         final int[] incarnations;
-        final ShareRequest[] requests;
+        final ShareClaim[] requests;
         final ShareVoter[] voters;
         final List<List<Answer>> lateAnswersByProcess = new ArrayList<>();
         World previous;
@@ -51,7 +51,7 @@
             this.parameters = parameters;
             restartsLeft = parameters.maxRestarts;
             incarnations = new int[parameters.processes];
-            requests = new ShareRequest[parameters.processes];
+            requests = new ShareClaim[parameters.processes];
             voters = new ShareVoter[parameters.voters];
             for (int process = 0; process < requests.length; process++) {
                 requests[process] = newRequest();
@@ -68,18 +68,18 @@
             turn = other.turn;
             restartsLeft = other.restartsLeft;
             incarnations = other.incarnations.clone();
-            requests = Arrays.stream(other.requests).map(ShareRequest::copy).toArray(ShareRequest[]::new);
+            requests = Arrays.stream(other.requests).map(ShareClaim::copy).toArray(ShareClaim[]::new);
             voters = Arrays.stream(other.voters).map(ShareVoter::copy).toArray(ShareVoter[]::new);
             lateAnswersByProcess.addAll(other.lateAnswersByProcess);
             previous = other;
         }
 
-        ShareRequest newRequest() {
-            return new ShareRequest(parameters.voters, HOLD_TICKS, 0, 10);
+        ShareClaim newRequest() {
+            return new ShareClaim(parameters.voters, HOLD_TICKS, 0, 10);
         }
 
         static ShareVoter newVoter(long now) {
-            return new ShareVoter(now, ShareRequest.releaseMicros(HOLD_TICKS, 0), 100);
+            return new ShareVoter(now, ShareClaim.releaseMicros(HOLD_TICKS, 0), 100);
         }
 
         /**
@@ -108,7 +108,7 @@
                     lateAnswersByProcess.set(process, List.of());
                 }
             }
-            ShareRequest request = requests[turn];
+            ShareClaim request = requests[turn];
             for (Answer answer : lateAnswersByProcess.get(turn)) {
                 request.receiveGrant(now, answer.voter, answer.requestedAt, answer.grant);
             }
@@ -129,8 +129,8 @@
 
         double totalShare(long at) {
             double total = 0;
-            for (ShareRequest request : requests) {
-                total += request.copy().part(at);
+            for (ShareClaim request : requests) {
+                total += request.copy().fraction(at);
             }
             return total;
         }
@@ -162,7 +162,7 @@
                     .append(restartsLeft)
                     .append(Arrays.toString(incarnations))
                     .append(Arrays.toString(voterStates));
-            for (ShareRequest request : requests) {
+            for (ShareClaim request : requests) {
                 String requestState = request.describeState(now);
                 state.append(requestState, requestState.lastIndexOf(' '), requestState.length());
             }
--- a/src/test/java/org/cypressweir/simulation/SimulatedLeaseFleet.java
+++ b/src/test/java/org/cypressweir/simulation/SimulatedLeaseFleet.java
@@ -177,7 +177,7 @@
                 if (network.isRunning(process.node) && !process.paused) {
                     Leases.Permission permission = process.leases.checkHolding(process.clock(), lease, 0);
                     if (permission.mayAct()) {
-                        history.act(
+                        history.recordAct(
                                 lease,
                                 "n" + process.node + "/" + process.incarnationId,
                                 network.now(),
--- a/src/test/java/org/cypressweir/testkit/CellPlans.java
+++ b/src/test/java/org/cypressweir/testkit/CellConfigurations.java
@@ -14,15 +14,15 @@
 import org.cypressweir.sidecar.cell.MoveConfiguration;
 
 /** Cell configurations and server lists for tests and benchmarks. */
-public final class CellPlans {
+public final class CellConfigurations {
 
     /** For how long servers discard repeated requests. */
-    public static final long WINDOW = 3_000_000;
+    public static final long WINDOW_MICROS = 3_000_000;
 
     /** The longest time for which a request is pending. */
-    public static final long PATIENCE = 5_000_000;
+    public static final long PATIENCE_MICROS = 5_000_000;
 
-    private CellPlans() {}
+    private CellConfigurations() {}
 
     /** Cells of equal share, named c0, c1, and so on. */
     public static List<Cell> cells(int count) {
@@ -40,12 +40,12 @@
         return cells;
     }
 
-    public static CellsConfiguration plan(
+    public static CellsConfiguration configuration(
             List<Cell> cells, double guests, Quarantine quarantine, MoveConfiguration... moves) {
-        return plan(cells, Map.of(), guests, quarantine, moves);
+        return configuration(cells, Map.of(), guests, quarantine, moves);
     }
 
-    public static CellsConfiguration plan(
+    public static CellsConfiguration configuration(
             List<Cell> cells,
             Map<Long, Integer> assigned,
             double guests,
@@ -59,8 +59,8 @@
                 60_000_000,
                 assigned,
                 List.of(moves),
-                WINDOW,
-                PATIENCE,
+                WINDOW_MICROS,
+                PATIENCE_MICROS,
                 guests,
                 false,
                 quarantine);
@@ -73,12 +73,12 @@
                 p.header(),
                 p.cells(),
                 p.spread(),
-                p.keepMicros(),
+                p.reservationMicros(),
                 p.assigned(),
                 p.moves(),
-                p.windowMicros(),
-                p.patienceMicros(),
-                p.guests(),
+                p.deduplicationWindowMicros(),
+                p.maxRequestMicros(),
+                p.maxSpilloverFraction(),
                 true,
                 p.quarantine());
     }
--- a/src/test/java/org/cypressweir/testkit/CellsFixture.java
+++ b/src/test/java/org/cypressweir/testkit/CellsFixture.java
@@ -6,30 +6,30 @@
 import org.cypressweir.common.util.Ids;
 import org.cypressweir.loadbalancing.LoadBalancer.Effect;
 import org.cypressweir.loadbalancing.LoadBalancer.ListKind;
-import org.cypressweir.sidecar.cell.Cells;
-import org.cypressweir.sidecar.cell.Cells.Ticket;
+import org.cypressweir.sidecar.cell.CellRouter;
+import org.cypressweir.sidecar.cell.CellRouter.Ticket;
 import org.cypressweir.sidecar.cell.CellsConfiguration;
 
 /** Drives the assignment of requests to cells in simulated time, and records the requests that it releases. */
-public final class CellsFixture implements Cells.Actions {
+public final class CellsFixture implements CellRouter.Actions {
 
     public static final int REQUESTS = 1_000;
 
     public final List<String> log = new ArrayList<>();
     public final List<Ticket> released = new ArrayList<>();
-    public final Cells cells;
+    public final CellRouter cells;
     public long now;
     private long timerAt;
     private int requestCount;
 
     public CellsFixture(CellsConfiguration plan, long now, int servers) {
         this.now = now;
-        cells = new Cells("p", plan, REQUESTS, now, this);
-        cells.listed(now, ListKind.COMPLETE, CellPlans.servers(servers, 2));
+        cells = new CellRouter("p", plan, REQUESTS, now, this);
+        cells.listed(now, ListKind.COMPLETE, CellConfigurations.servers(servers, 2));
     }
 
     /** Advances the time, and runs timers as they become due. */
-    public void to(long later) {
+    public void advanceTo(long later) {
         while (timerAt != 0 && timerAt <= later) {
             now = Math.max(now, timerAt);
             timerAt = 0;
@@ -48,7 +48,7 @@
     }
 
     public Ticket ask(String unit, Effect effect, long number, long timeoutMicros) {
-        return cells.ask(now, Ids.of(unit), effect, number, Hashes.mix(number, 5), now + timeoutMicros);
+        return cells.route(now, Ids.of(unit), effect, number, Hashes.mix(number, 5), now + timeoutMicros);
     }
 
     public void done(Ticket ticket, boolean inTime) {
@@ -61,13 +61,13 @@
      *
      * @param inTime whether they are answered in time; each ends at once
      */
-    public void second(String unit, Effect effect, int requests, boolean inTime) {
+    public void runSecond(String unit, Effect effect, int requests, boolean inTime) {
         long end = now + 1_000_000;
         for (int i = 0; i < requests; i++) {
-            to(now + 1_000_000 / requests);
+            advanceTo(now + 1_000_000 / requests);
             done(ask(unit, effect), inTime);
         }
-        to(end);
+        advanceTo(end);
     }
 
     public boolean logged(String part) {
--- a/src/test/java/org/cypressweir/testkit/ConsensusChecks.java
+++ b/src/test/java/org/cypressweir/testkit/ConsensusChecks.java
@@ -30,7 +30,7 @@
     private Map<ItemKey, Item> requiredItems = Map.of();
 
     private final Map<ItemKey, Map<Long, Object>> contentsByVersion = new HashMap<>();
-    private final Map<ProposalNumber, Effect.Show> publishedStates = new HashMap<>();
+    private final Map<ProposalNumber, Effect.Publish> publishedStates = new HashMap<>();
     private final Map<String, ProposalNumber> lastPublished = new HashMap<>();
     private final List<String> violations = new ArrayList<>();
     /** The required items by the time since which they have been required. */
@@ -68,7 +68,7 @@
     }
 
     /** The first violation, or null. */
-    public String breach() {
+    public String violation() {
         return violations.isEmpty() ? null : violations.get(0);
     }
 
@@ -79,7 +79,7 @@
     /** Whether two voter sets, one committed right after the other, differ by more than one member. */
     public boolean hasLargeVoterChange() {
         List<String> before = null;
-        for (Effect.Show show : new TreeMap<>(publishedStates).values()) {
+        for (Effect.Publish show : new TreeMap<>(publishedStates).values()) {
             Set<String> changed = new HashSet<>(show.voters());
             if (before != null) {
                 Set<String> stayed = new HashSet<>(before);
@@ -105,7 +105,7 @@
 
     public void answered(long proposalId, ProposalResult result) {
         Call call = pendingCalls.remove(proposalId);
-        if (result instanceof ProposalResult.Taken) {
+        if (result instanceof ProposalResult.Committed) {
             accepted++;
             requireFromNowOn(call.change.items());
         } else if (result instanceof ProposalResult.Read answer) {
@@ -144,12 +144,12 @@
         }
     }
 
-    public void published(String replica, Effect.Show show) {
+    public void published(String replica, Effect.Publish show) {
         ProposalNumber before = lastPublished.put(replica, show.number());
         if (before != null && before.compareTo(show.number()) >= 0) {
             violations.add(replica + " shows " + show.number() + " after " + before);
         }
-        Effect.Show other = publishedStates.putIfAbsent(show.number(), show);
+        Effect.Publish other = publishedStates.putIfAbsent(show.number(), show);
         if (other != null && !other.equals(show)) {
             violations.add(show + " and " + other);
         }
--- a/src/test/java/org/cypressweir/testkit/ConsensusCornerCases.java
+++ b/src/test/java/org/cypressweir/testkit/ConsensusCornerCases.java
@@ -157,7 +157,7 @@
     }
 
     private static String violation(SimulatedReplicas simulation) {
-        if (simulation.checks().breach() == null) {
+        if (simulation.checks().violation() == null) {
             simulation
                     .checks()
                     .requireAtLeast(
@@ -165,6 +165,6 @@
                             simulation.replica(1).consensus().committed().configuration(),
                             "published");
         }
-        return simulation.checks().breach();
+        return simulation.checks().violation();
     }
 }
--- a/src/test/java/org/cypressweir/testkit/ConsensusFaults.java
+++ b/src/test/java/org/cypressweir/testkit/ConsensusFaults.java
@@ -57,18 +57,18 @@
     /** Runs the scenario; returns the first violation, or null. */
     public String run() {
         simulation.run(1_000_000);
-        for (int step = 0; step < STEPS && simulation.checks().breach() == null; step++) {
+        for (int step = 0; step < STEPS && simulation.checks().violation() == null; step++) {
             submitRandomCalls();
             fault();
             simulation.run(1 + random.nextLong(2 * MEAN_STEP_MICROS));
         }
-        if (simulation.checks().breach() != null) {
-            return simulation.checks().breach();
+        if (simulation.checks().violation() != null) {
+            return simulation.checks().violation();
         }
         return checkRecovery();
     }
 
-    protected SimulatedReplicas world() {
+    protected SimulatedReplicas simulation() {
         return simulation;
     }
 
@@ -103,7 +103,7 @@
                         .noneMatch(h -> h.consensus().isBlank())
                 && simulation.runningReplicas().stream()
                         .allMatch(h -> h.consensus().voters().size() == count
-                                && h.consensus().voters().contains(h.consensus().own()));
+                                && h.consensus().voters().contains(h.consensus().replicaKey()));
     }
 
     private void fault() {
@@ -174,6 +174,6 @@
             }
         }
         simulation.checks().requireAtLeast(simulation.checks().requiredItems(), first.configuration(), "published");
-        return simulation.checks().breach();
+        return simulation.checks().violation();
     }
 }
--- a/src/test/java/org/cypressweir/testkit/ConsensusPartitions.java
+++ b/src/test/java/org/cypressweir/testkit/ConsensusPartitions.java
@@ -120,7 +120,7 @@
             ProposalResult result = proposalId < 0
                     ? new ProposalResult.Unavailable("the replica is down")
                     : proposalId == 0 ? null : simulation.result(proposalId);
-            if (result instanceof ProposalResult.Taken) {
+            if (result instanceof ProposalResult.Committed) {
                 figures.get(operationPhase).micros.add(now - startedAt);
                 lastAcknowledging = replicaNumber;
                 startedAt = -1;
@@ -208,8 +208,9 @@
         operate(CALM_MICROS);
         draining = true;
         operate(DRAIN_MICROS);
-        if (simulation.checks().breach() != null || operators.stream().anyMatch(o -> o.startedAt >= 0)) {
-            throw new AssertionError(kind + ": " + simulation.checks().breach() + ", or a change was not acknowledged");
+        if (simulation.checks().violation() != null || operators.stream().anyMatch(o -> o.startedAt >= 0)) {
+            throw new AssertionError(
+                    kind + ": " + simulation.checks().violation() + ", or a change was not acknowledged");
         }
     }
 
--- a/src/test/java/org/cypressweir/testkit/DatagramRelay.java
+++ b/src/test/java/org/cypressweir/testkit/DatagramRelay.java
@@ -31,9 +31,9 @@
      * The fractions of datagrams, 0 to 1, that are lost, duplicated, delayed by up to a maximum, or corrupted by one
      * flipped bit.
      */
-    public record Weather(
+    public record Impairment(
             double lossRate, double duplicateRate, double delayRate, long maxDelayMillis, double corruptionRate) {
-        public static final Weather FAIR = new Weather(0, 0, 0, 0, 0);
+        public static final Impairment NONE = new Impairment(0, 0, 0, 0, 0);
     }
 
     private record DelayedDatagram(long dueNanos, int to, byte[] bytes) {}
@@ -46,9 +46,9 @@
             new PriorityQueue<>((a, b) -> Long.compare(a.dueNanos, b.dueNanos));
     private final SplittableRandom random;
     private final Thread thread;
-    public final AtomicLong passed = new AtomicLong();
+    public final AtomicLong deliveredCount = new AtomicLong();
     private volatile LinkFilter linkFilter = (from, to) -> true;
-    private volatile Weather impairment = Weather.FAIR;
+    private volatile Impairment impairment = Impairment.NONE;
     private volatile boolean closed;
 
     /** Starts a relay between processes that listen on these loopback ports. */
@@ -73,11 +73,11 @@
         return ((InetSocketAddress) sockets.get(index).getLocalAddress()).getPort();
     }
 
-    public void cut(LinkFilter next) {
+    public void setLinkFilter(LinkFilter next) {
         linkFilter = next;
     }
 
-    public void weather(Weather next) {
+    public void setImpairment(Impairment next) {
         impairment = next;
     }
 
@@ -126,7 +126,7 @@
     }
 
     private void pass(int from, int to, byte[] bytes) throws IOException {
-        Weather current = impairment;
+        Impairment current = impairment;
         if (!linkFilter.allows(from, to) || random.nextDouble() < current.lossRate) {
             return;
         }
@@ -146,10 +146,10 @@
     private void send(int to, byte[] bytes) throws IOException {
         try {
             sockets.get(to).send(ByteBuffer.wrap(bytes), targets.get(to));
-            passed.incrementAndGet();
+            deliveredCount.incrementAndGet();
         } catch (IOException e) {
             // The process does not listen: the datagram counts as delivered all the same.
-            passed.incrementAndGet();
+            deliveredCount.incrementAndGet();
         }
     }
 
--- a/src/test/java/org/cypressweir/testkit/FaultSchedule.java
+++ b/src/test/java/org/cypressweir/testkit/FaultSchedule.java
@@ -65,7 +65,7 @@
      * Generates random faults. The first two processes are the seeds, so that one of them can be reached while a fault
      * affects the other.
      */
-    public static List<Step> draw(long seed, int members, int steps, long pauseMillis) {
+    public static List<Step> generate(long seed, int members, int steps, long pauseMillis) {
         SplittableRandom random = new SplittableRandom(seed);
         List<Step> schedule = new ArrayList<>();
         for (int i = 0; i < steps; i++) {
@@ -95,7 +95,7 @@
     }
 
     private void awaitViews(Set<Integer> among, Set<Integer> on, String what, long millis) throws Exception {
-        processes.within(
+        processes.await(
                 millis,
                 what,
                 () -> processes.see(on.size(), among.stream().mapToInt(i -> i).toArray()));
@@ -126,7 +126,7 @@
     }
 
     /** Injects one fault, ends it, and checks what the processes make of it. */
-    public void play(Step step) throws Exception {
+    public void run(Step step) throws Exception {
         long startMicros = System.nanoTime() / 1_000;
         String what = step.toString();
         Set<Integer> rest = without(all, step.one);
@@ -156,36 +156,37 @@
             }
             case ONE_WAY, PAIR -> {
                 boolean both = step.kind == Kind.PAIR;
-                processes.relay.cut((from, to) ->
+                processes.relay.setLinkFilter((from, to) ->
                         !(from == step.one && to == step.other) && !(both && from == step.other && to == step.one));
                 sleepFor(step);
-                processes.relay.cut((from, to) -> true);
+                processes.relay.setLinkFilter((from, to) -> true);
                 assertNoMemberEnded(startMicros, what, none);
             }
             case MUTE, DEAF -> {
-                processes.relay.cut((from, to) -> step.kind == Kind.MUTE ? from != step.one : to != step.one);
+                processes.relay.setLinkFilter((from, to) -> step.kind == Kind.MUTE ? from != step.one : to != step.one);
                 awaitViews(rest, rest, what, detectionMillis());
                 awaitViews(Set.of(step.one), Set.of(step.one), what, detectionMillis());
-                processes.relay.cut((from, to) -> true);
+                processes.relay.setLinkFilter((from, to) -> true);
                 awaitAllSeeAll(what + " is over", detectionMillis());
                 assertNoMemberEnded(startMicros, what, its);
             }
             case SPLIT -> {
-                processes.relay.cut((from, to) -> step.groups.get(from).equals(step.groups.get(to)));
+                processes.relay.setLinkFilter(
+                        (from, to) -> step.groups.get(from).equals(step.groups.get(to)));
                 for (int part : Set.copyOf(step.groups)) {
                     Set<Integer> side =
                             all.stream().filter(i -> step.groups.get(i) == part).collect(Collectors.toSet());
                     awaitViews(side, side, what, detectionMillis() + pause);
                 }
                 long healed = System.nanoTime() / 1_000;
-                processes.relay.cut((from, to) -> true);
+                processes.relay.setLinkFilter((from, to) -> true);
                 awaitAllSeeAll(what + " is over", detectionMillis());
                 assertNoMemberEnded(healed, what, none);
             }
             case LOSS -> {
-                processes.relay.weather(new DatagramRelay.Weather(0.2, 0.1, 0.1, 100, 0.02));
+                processes.relay.setImpairment(new DatagramRelay.Impairment(0.2, 0.1, 0.1, 100, 0.02));
                 sleepFor(step);
-                processes.relay.weather(DatagramRelay.Weather.FAIR);
+                processes.relay.setImpairment(DatagramRelay.Impairment.NONE);
                 assertNoMemberEnded(startMicros, what, none);
             }
             default -> throw new IllegalStateException(what);
--- a/src/test/java/org/cypressweir/testkit/LeaseHistory.java
+++ b/src/test/java/org/cypressweir/testkit/LeaseHistory.java
@@ -20,7 +20,7 @@
     private long count;
 
     /** Records and checks that a process acts at a time. */
-    public void act(String lease, String process, long at, long token) {
+    public void recordAct(String lease, String process, long at, long token) {
         count++;
         LastAct before = last.put(lease, new LastAct(process, at, token));
         if (before == null) {
@@ -56,7 +56,7 @@
     }
 
     /** The violations so far. */
-    public List<String> wrong() {
+    public List<String> violations() {
         return violations;
     }
 }
--- a/src/test/java/org/cypressweir/testkit/LeaseHolders.java
+++ b/src/test/java/org/cypressweir/testkit/LeaseHolders.java
@@ -45,7 +45,7 @@
                 long now = System.nanoTime();
                 if (now < until) {
                     // Two incarnations of a process are two holders with the same name: the token tells them apart.
-                    history.act(lease, SidecarProcesses.name(index), now, Long.parseLong(response[1]));
+                    history.recordAct(lease, SidecarProcesses.name(index), now, Long.parseLong(response[1]));
                     last = SidecarProcesses.name(index);
                     lastAt = now;
                 }
@@ -64,7 +64,7 @@
     }
 
     /** Whether the last act was another process's and within the last 100 ms. */
-    public synchronized boolean actsBesides(String name) {
+    public synchronized boolean othersAct(String name) {
         return System.nanoTime() - lastAt < 100_000_000 && !last.equals(name);
     }
 
@@ -72,8 +72,8 @@
         return history.count();
     }
 
-    public synchronized List<String> wrong() {
-        return List.copyOf(history.wrong());
+    public synchronized List<String> violations() {
+        return List.copyOf(history.violations());
     }
 
     @Override
