--- a/src/test/java/org/cypressweir/testkit/LoadBalancerFixture.java
+++ b/src/test/java/org/cypressweir/testkit/LoadBalancerFixture.java
@@ -16,10 +16,10 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Phase;
 import org.cypressweir.loadbalancing.LoadBalancer.Request;
 import org.cypressweir.loadbalancing.LoadBalancer.RequestClass;
+import org.cypressweir.loadbalancing.LoadBalancer.RequestPolicy;
 import org.cypressweir.loadbalancing.LoadBalancer.Result;
 import org.cypressweir.loadbalancing.LoadBalancer.Server;
 import org.cypressweir.loadbalancing.LoadBalancer.Settings;
-import org.cypressweir.loadbalancing.LoadBalancer.Terms;
 
 /**
  * Drives a load balancer in simulated time with random outcomes of attempts, and checks each of its actions against
@@ -113,7 +113,7 @@
     }
 
     /** Schedules a request. */
-    public void ask(long afterMicros, String id, int requestClass, long timeoutMicros, Terms terms) {
+    public void submit(long afterMicros, String id, int requestClass, long timeoutMicros, RequestPolicy terms) {
         scheduleAt(now + afterMicros, () -> {
             Request request =
                     new Request(id, requestClass, 0, false, random.nextInt(50), now + timeoutMicros, 0, false, terms);
@@ -123,7 +123,7 @@
     }
 
     /** Schedules a task. */
-    public void after(long micros, Runnable task) {
+    public void schedule(long micros, Runnable task) {
         scheduleAt(now + micros, task);
     }
 
@@ -140,7 +140,7 @@
     }
 
     /** How many requests had this outcome: served, refused or failed. */
-    public long ended(String answer) {
+    public long countWithOutcome(String answer) {
         return requests.values().stream().filter(a -> answer.equals(a.outcome)).count();
     }
 
@@ -161,16 +161,17 @@
         trace.add(now + " send " + requestId + " to " + server);
         TrackedRequest a = requests.get(requestId);
         Request r = a.request;
-        Terms terms = r.terms();
+        RequestPolicy terms = r.policy();
         RequestClass c = settings.classes().get(r.requestClass());
         check(a, a.outcome == null, "sent after the request was answered");
         check(a, now < r.deadlineMicros(), "sent after the deadline");
-        check(a, timeoutMicros == terms.attemptMicros(), "wrong attempt time-out: " + timeoutMicros);
+        check(a, timeoutMicros == terms.attemptTimeoutMicros(), "wrong attempt time-out: " + timeoutMicros);
         check(
                 a,
-                a.attempts.size() < Math.min(terms.attempts(), settings.limits().attempts()),
+                a.attempts.size()
+                        < Math.min(terms.maxAttempts(), settings.limits().maxAttempts()),
                 "more attempts than allowed");
-        check(a, a.inFlightCount() <= terms.copies(), "more copies than allowed");
+        check(a, a.inFlightCount() <= terms.maxHedges(), "more copies than allowed");
         check(a, c.effect() != Effect.UNSAFE || a.inFlightCount() == 0, "an unsafe request has two attempts in flight");
         Attempt first =
                 a.attempts.stream().filter(Attempt::mayHaveRun).findFirst().orElse(null);
--- a/src/test/java/org/cypressweir/testkit/MachineLosses.java
+++ b/src/test/java/org/cypressweir/testkit/MachineLosses.java
@@ -102,14 +102,14 @@
         chooseRunning(lossCount).forEach(simulation::wipe);
         run(1_000_000);
         ProposalResult answer = null;
-        for (int i = 0; i < 20 && !(answer instanceof ProposalResult.Taken); i++) {
+        for (int i = 0; i < 20 && !(answer instanceof ProposalResult.Committed); i++) {
             List<Replica> running = simulation.runningReplicas();
             answer = simulation.await(simulation.submit(running.get(i % running.size()), nextChange(), 1_000_000));
         }
-        if (!(answer instanceof ProposalResult.Taken)) {
+        if (!(answer instanceof ProposalResult.Committed)) {
             return "no change is accepted any more: " + answer;
         }
-        return simulation.checks().breach();
+        return simulation.checks().violation();
     }
 
     /**
@@ -131,7 +131,7 @@
             for (Replica one : simulation.runningReplicas()) {
                 List<String> voters = one.consensus().committed().voters();
                 long voting = simulation.runningReplicas().stream()
-                        .filter(h -> voters.contains(h.consensus().own())
+                        .filter(h -> voters.contains(h.consensus().replicaKey())
                                 && h.disk() != null
                                 && h.disk().voters().equals(voters))
                         .count();
--- a/src/test/java/org/cypressweir/testkit/MeshSoak.java
+++ b/src/test/java/org/cypressweir/testkit/MeshSoak.java
@@ -421,7 +421,7 @@
     }
 
     /** The events with their times, the current state of each process, and all logs. */
-    public String story() {
+    public String report() {
         StringBuilder text = new StringBuilder(String.join("\n", eventLog)).append('\n');
         List<String> all = new ArrayList<>(proxies);
         all.addAll(controllers);
--- a/src/test/java/org/cypressweir/testkit/OverlappingLosses.java
+++ b/src/test/java/org/cypressweir/testkit/OverlappingLosses.java
@@ -75,7 +75,7 @@
         loseDisksAndPower();
         simulation.heal();
         simulation.run(RECOVERY_MICROS);
-        return isReadAnswered() ? simulation.checks().breach() : "no read is answered after all replicas run again";
+        return isReadAnswered() ? simulation.checks().violation() : "no read is answered after all replicas run again";
     }
 
     /** Whether any replica answers a read: a standby need not answer one. */
--- a/src/test/java/org/cypressweir/testkit/PeerStub.java
+++ b/src/test/java/org/cypressweir/testkit/PeerStub.java
@@ -19,7 +19,7 @@
 public final class PeerStub implements AutoCloseable {
 
     /** A received request and its connection. */
-    public record Seen(RawHttpClient.Message request, Socket socket) {
+    public record ReceivedRequest(RawHttpClient.Message request, Socket socket) {
         public void reply(String status, String headers, String body) throws IOException {
             raw("HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
         }
@@ -33,13 +33,13 @@
 
     /** Handles one request of a scripted peer. */
     public interface Script {
-        void on(Seen received) throws IOException;
+        void on(ReceivedRequest received) throws IOException;
     }
 
     public static final Script SILENT = received -> {};
     public static final Script HANG_UP = received -> received.socket().close();
 
-    public final BlockingQueue<Seen> seen = new LinkedBlockingQueue<>();
+    public final BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
     /** One entry for each connection that has ended. */
     public final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>();
 
@@ -74,12 +74,12 @@
     }
 
     /** Closes new connections from now on when they have sent no request for this long; 0 for never. */
-    public void closesIdle(int millis) {
+    public void setIdleTimeoutMillis(int millis) {
         idleMillis = millis;
     }
 
     /** How many connections are open. */
-    public int open() {
+    public int openConnections() {
         return sockets.size();
     }
 
@@ -87,8 +87,8 @@
         return listening.getLocalPort();
     }
 
-    public Seen take() throws InterruptedException {
-        Seen next = seen.poll(10, TimeUnit.SECONDS);
+    public ReceivedRequest take() throws InterruptedException {
+        ReceivedRequest next = received.poll(10, TimeUnit.SECONDS);
         Assertions.assertNotNull(next, "no request was received");
         return next;
     }
@@ -122,10 +122,10 @@
         try (socket) {
             InputStream in = socket.getInputStream();
             for (RawHttpClient.Message m; (m = RawHttpClient.read(in)) != null; ) {
-                Seen next = new Seen(m, socket);
+                ReceivedRequest next = new ReceivedRequest(m, socket);
                 // Read before the request is queued: a test that sees the request may set the script for the next one.
                 Script current = script;
-                seen.add(next);
+                received.add(next);
                 current.on(next);
             }
         } catch (IOException e) {
--- a/src/test/java/org/cypressweir/testkit/PluginModules.java
+++ b/src/test/java/org/cypressweir/testkit/PluginModules.java
@@ -21,7 +21,7 @@
     }
 
     /** A plugin configuration with limits of 5 ms for a call and 2 MiB (32 pages) of memory. */
-    public static PluginConfiguration plan(String name, PluginGrant grant, Map<String, String> config)
+    public static PluginConfiguration configuration(String name, PluginGrant grant, Map<String, String> config)
             throws IOException {
         return new PluginConfiguration(name, 1, bytes(name), 5_000, 32, false, grant, config);
     }
--- a/src/test/java/org/cypressweir/testkit/RawHttpClient.java
+++ b/src/test/java/org/cypressweir/testkit/RawHttpClient.java
@@ -13,9 +13,9 @@
     private RawHttpClient() {}
 
     /** One message: its start line, its headers and its body. */
-    public record Message(String first, Map<String, String> headers, String body) {
+    public record Message(String firstLine, Map<String, String> headers, String body) {
         public int status() {
-            return Integer.parseInt(first.split(" ")[1]);
+            return Integer.parseInt(firstLine.split(" ")[1]);
         }
     }
 
--- a/src/test/java/org/cypressweir/testkit/Configs.java
+++ b/src/test/java/org/cypressweir/testkit/SidecarConfigurations.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** Sidecar configurations and endpoint lists as JSON. */
-public final class Configs {
+public final class SidecarConfigurations {
 
     private static final String SETTINGS = "{'classes':["
             + "{'name':'search','effect':'pure','aim_us':400000,'deadline_us':3000000,'worth':1,"
@@ -21,7 +21,7 @@
             + "'rules':{'ask_every_us':800000,'drain_grace_us':300000,'cold_from':0.3,'cold_us':1000000,"
             + "'fall_us':1000000},'tick_us':1000}";
 
-    private Configs() {}
+    private SidecarConfigurations() {}
 
     /** Replaces single quotes by double ones, so that JSON in Java strings needs no escapes. */
     public static String json(String quoted) {
--- a/src/test/java/org/cypressweir/testkit/SidecarProcesses.java
+++ b/src/test/java/org/cypressweir/testkit/SidecarProcesses.java
@@ -95,17 +95,17 @@
     }
 
     /** Sets an edit of the operators' configuration file for processes that are started from now on. */
-    public void operators(UnaryOperator<String> change) {
+    public void editOperatorConfiguration(UnaryOperator<String> change) {
         operatorConfigurationEdit = change;
     }
 
     /** Sets an edit of the configuration for processes that are started from now on. */
-    public void configs(UnaryOperator<String> change) {
+    public void editConfiguration(UnaryOperator<String> change) {
         configurationEdit = change;
     }
 
     /** Sets how many processes, the first ones, are the seeds of processes that are started from now on. */
-    public void seeds(int count) {
+    public void setSeedCount(int count) {
         seedCount = count;
     }
 
@@ -117,16 +117,16 @@
         return sidecars.size();
     }
 
-    public InetSocketAddress front(int i) {
+    public InetSocketAddress clientAddress(int i) {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), sidecars.get(i).clientPort);
     }
 
-    public int door(int i) {
+    public int adminPort(int i) {
         return sidecars.get(i).adminPort;
     }
 
     /** The port on which a process itself receives datagrams, behind the relay. */
-    public int socket(int i) {
+    public int membershipPort(int i) {
         return sidecars.get(i).membershipPort;
     }
 
@@ -156,7 +156,7 @@
     /**
      * Starts a process on a listening socket that others may share, with an admin port of its own; returns its id.
      */
-    public long startOn(Platform platform, int i) throws Exception {
+    public long startOn(SocketActivator platform, int i) throws Exception {
         Sidecar sidecar = sidecars.get(i);
         sidecar.adminPort = freePort();
         sidecar.clientPort = platform.address.getPort();
@@ -199,13 +199,13 @@
         Path config = folder.resolve("config" + i + ".json");
         Files.writeString(
                 config,
-                configurationEdit.apply(Configs.of(
+                configurationEdit.apply(SidecarConfigurations.of(
                         name,
                         sidecar.clientPort,
                         discovery.port(),
                         1024,
                         250_000,
-                        Configs.list(1, true, "in_service", servers))));
+                        SidecarConfigurations.list(1, true, "in_service", servers))));
         Path file = folder.resolve("operators" + i + ".toml");
         List<String> seeds = new ArrayList<>();
         for (int s = 0; s < Math.min(this.seedCount, sidecars.size()); s++) {
@@ -238,10 +238,10 @@
 
     /** Sends one line to the admin socket of a process; returns the whole response, or empty if it does not respond. */
     public String ask(int i, String line) {
-        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), sidecars.get(i).adminPort)) {
-            socket.setSoTimeout(2_000);
-            socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
-            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        try (Socket membershipPort = new Socket(InetAddress.getLoopbackAddress(), sidecars.get(i).adminPort)) {
+            membershipPort.setSoTimeout(2_000);
+            membershipPort.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
+            return new String(membershipPort.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
             return "";
         }
@@ -289,7 +289,7 @@
      * times the scheduling delays of this process are added to the time-out, since a busy machine delays the other
      * processes as well.
      */
-    public long within(long millis, String what, Condition condition) throws Exception {
+    public long await(long millis, String what, Condition condition) throws Exception {
         long begun = System.nanoTime();
         long delayBefore = schedulingDelays.schedulingDelayNanos();
         while (!condition.holds()) {
@@ -302,7 +302,7 @@
     }
 
     /** The total scheduling delay of this process: it observes the other processes that much later. */
-    public long lateNanos() {
+    public long schedulingDelayNanos() {
         return schedulingDelays.schedulingDelayNanos();
     }
 
--- a/src/test/java/org/cypressweir/testkit/SimulatedReplicas.java
+++ b/src/test/java/org/cypressweir/testkit/SimulatedReplicas.java
@@ -83,7 +83,7 @@
     /** How far the clocks of replicas that are started from now on are behind, in microseconds. */
     public long clockBehindMicros;
     /** Called with each message that is sent, whether it arrives or not. */
-    public Consumer<Map<String, Object>> sent = message -> {};
+    public Consumer<Map<String, Object>> onSent = message -> {};
     /** The address to which sent bytes are counted in {@link #countedBytes}. */
     public String countedAddress;
 
@@ -138,7 +138,7 @@
         replica.incarnation = ++incarnations - clockBehindMicros;
         replica.initialStart = initialStart;
         replica.consensus = new ConsensusReplica(
-                ConsensusOptions.usual(),
+                ConsensusOptions.defaults(),
                 address,
                 seeds,
                 initialStart,
@@ -175,7 +175,7 @@
     /** Crashes a replica. A write in progress may or may not be on its disk. */
     public void crash(Replica replica) {
         if (replica.writing != null && random.nextBoolean()) {
-            replica.disk = replica.writing.change().on(replica.disk);
+            replica.disk = replica.writing.update().appliedTo(replica.disk);
         }
         replica.writing = null;
         replica.consensus = null;
@@ -193,7 +193,7 @@
 
     /** The write in progress of a replica's disk, or null. */
     public StorageUpdate writing(Replica replica) {
-        return replica.writing == null ? null : replica.writing.change();
+        return replica.writing == null ? null : replica.writing.update();
     }
 
     public void setDiskFull(Replica replica, boolean full) {
@@ -241,7 +241,7 @@
                 }
                 checks.answered(answer.proposalId(), answer.result());
                 checks.timePassed(now);
-            } else if (effect instanceof Effect.Show show) {
+            } else if (effect instanceof Effect.Publish show) {
                 checks.published(replica.address, show);
             }
         }
@@ -259,7 +259,7 @@
         replica.writing = null;
         boolean ok = !replica.diskFull;
         if (ok || random.nextInt(4) == 0) {
-            replica.disk = write.change().on(replica.disk);
+            replica.disk = write.update().appliedTo(replica.disk);
         }
         perform(replica, replica.consensus.written(now, write.number(), ok));
     }
@@ -269,11 +269,11 @@
         if (!String.valueOf(message.get("t")).startsWith("copies.")) {
             throw new AssertionError(message.toString());
         }
-        sent.accept(send.message());
+        onSent.accept(send.message());
         if (message.get("t").equals("copies.prepare")) {
             rounds.add(String.valueOf(message.get("b")));
         }
-        String member = from.consensus.own();
+        String member = from.consensus.replicaKey();
         String address = ReplicaKey.address(send.to());
         if (address.equals(countedAddress)) {
             countedBytes += JsonCodec.bytes(send.message()).length;
--- a/src/test/java/org/cypressweir/testkit/Platform.java
+++ b/src/test/java/org/cypressweir/testkit/SocketActivator.java
@@ -18,7 +18,7 @@
  * activation does. Java cannot pass a socket to its child processes, so a Perl script does: it runs each line of its
  * input as a command, and prints a line for each start and each exit.
  */
-public final class Platform implements AutoCloseable {
+public final class SocketActivator implements AutoCloseable {
 
     private static final String HOLDER_SCRIPT = String.join(
             "\n",
@@ -47,7 +47,7 @@
     private final BlockingQueue<String> started = new LinkedBlockingQueue<>();
     private final BlockingQueue<String> ended = new LinkedBlockingQueue<>();
 
-    public Platform() throws IOException {
+    public SocketActivator() throws IOException {
         holder = new ProcessBuilder("perl", "-e", HOLDER_SCRIPT)
                 .redirectError(ProcessBuilder.Redirect.INHERIT)
                 .start();
@@ -82,7 +82,7 @@
     }
 
     /** Whether any program has exited without having been awaited. */
-    public boolean lostOne() {
+    public boolean hasUnexpectedEnd() {
         return !ended.isEmpty();
     }
 
--- a/src/test/java/org/cypressweir/testkit/ThreeReplicas.java
+++ b/src/test/java/org/cypressweir/testkit/ThreeReplicas.java
@@ -38,7 +38,7 @@
         List<String> all = List.of("h1", "h2", "h3");
         for (int i = 0; i < COUNT; i++) {
             replicas[i] = new ConsensusReplica(
-                    ConsensusOptions.usual(), all.get(i), all, true, null, i + 1, new SplittableRandom(i), now);
+                    ConsensusOptions.defaults(), all.get(i), all, true, null, i + 1, new SplittableRandom(i), now);
             perform(i, replicas[i].start(now));
         }
         deliverAll();
@@ -94,7 +94,7 @@
 
     private boolean written(int i, Effect.Write write) {
         try {
-            stores.get(i).write(write.change());
+            stores.get(i).write(write.update());
             return true;
         } catch (IOException e) {
             return false;
--- a/src/test/java/org/cypressweir/testkit/WebSocketClient.java
+++ b/src/test/java/org/cypressweir/testkit/WebSocketClient.java
@@ -24,7 +24,7 @@
     private final boolean isClient;
 
     /** A frame as it was received, with its payload unmasked. */
-    public record Frame(int opcode, boolean last, boolean rsv1, byte[] payload) {
+    public record Frame(int opcode, boolean fin, boolean rsv1, byte[] payload) {
         public String text() {
             return new String(payload, StandardCharsets.UTF_8);
         }
@@ -40,7 +40,7 @@
         in = new DataInputStream(socket.getInputStream());
     }
 
-    public static String accept(String key) {
+    public static String acceptKey(String key) {
         try {
             return Base64.getEncoder()
                     .encodeToString(MessageDigest.getInstance("SHA-1")
@@ -52,26 +52,26 @@
     }
 
     /** A server's valid response that accepts an upgrade, with further header lines. */
-    public static String agreed(String key, String extraHeaders) {
+    public static String switchingProtocols(String key, String extraHeaders) {
         return "HTTP/1.1 101 Switching Protocols\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n"
-                + "Sec-WebSocket-Accept: " + accept(key) + "\r\n" + extraHeaders + "\r\n";
+                + "Sec-WebSocket-Accept: " + acceptKey(key) + "\r\n" + extraHeaders + "\r\n";
     }
 
     /** Accepts a request for an upgrade; returns the server's end of the WebSocket. */
-    public static WebSocketClient agree(PeerStub.Seen seen, String extraHeaders) throws IOException {
-        seen.raw(agreed(seen.request().headers().get("Sec-WebSocket-Key"), extraHeaders));
+    public static WebSocketClient acceptUpgrade(PeerStub.ReceivedRequest seen, String extraHeaders) throws IOException {
+        seen.raw(switchingProtocols(seen.request().headers().get("Sec-WebSocket-Key"), extraHeaders));
         return new WebSocketClient(seen.socket(), false);
     }
 
     /** A server that echoes each message, and answers ping and close frames. */
     public static PeerStub.Script echo() {
         return seen -> {
-            WebSocketClient ws = agree(seen, "");
+            WebSocketClient ws = acceptUpgrade(seen, "");
             for (Frame f; (f = ws.read()) != null; ) {
                 if (f.opcode() == 9) {
                     ws.send(10, true, f.payload());
                 } else if (f.opcode() != 10) {
-                    ws.send(f.opcode(), f.last(), f.payload());
+                    ws.send(f.opcode(), f.fin(), f.payload());
                 }
                 if (f.opcode() == 8) {
                     return;
@@ -134,7 +134,7 @@
     }
 
     /** Closes the connection. */
-    public void end() throws IOException {
+    public void closeConnection() throws IOException {
         socket.close();
     }
 
@@ -182,7 +182,7 @@
             }
             opcode = f.opcode() == 0 ? opcode : f.opcode();
             payload.writeBytes(f.payload());
-            if (f.last()) {
+            if (f.fin()) {
                 return new Frame(opcode, true, f.rsv1(), payload.toByteArray());
             }
         }
