--- a/src/bench/java/org/cypressweir/loadbalancing/FleetBench.java
+++ b/src/bench/java/org/cypressweir/loadbalancing/FleetBench.java
@@ -28,7 +28,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** What the module's decisions cost by the size of the fleet: two zones, two tenants, one safe class. */
+/** The time of the balancer's decisions by fleet size: two zones, two tenants, one safe class. */
 @State(Scope.Benchmark)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
 @Warmup(iterations = 3, time = 1)
@@ -71,7 +71,7 @@
         }
         recorder = new LoadBalancerRecorder(settings(), 0);
         recorder.choice.servers(recorder.now, ListKind.COMPLETE, list);
-        // Nodes are made when first asked for; a change is measured where they are there to be patched.
+        // Nodes are built when first asked for; changes are measured with existing nodes that must be updated.
         for (int i = 0; i < Math.min(20_000, 20 * servers); i++) {
             request();
         }
@@ -98,7 +98,7 @@
         forget();
     }
 
-    /** One server that drains, and comes back. */
+    /** One server drains or returns. */
     @Benchmark
     @BenchmarkMode({Mode.AverageTime, Mode.SampleTime})
     public void change() {
@@ -108,7 +108,7 @@
         forget();
     }
 
-    /** The whole list, to a module that knows nothing, and its first request. */
+    /** The complete list, to a new balancer, and its first request. */
     @Benchmark
     @BenchmarkMode(Mode.AverageTime)
     public void wholeList() {
--- a/src/bench/java/org/cypressweir/loadbalancing/PushBench.java
+++ b/src/bench/java/org/cypressweir/loadbalancing/PushBench.java
@@ -17,11 +17,9 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Settings;
 
 /**
- * A deploy push: all 8,000 servers drain and come back as new ones within 5 s, a change of 256 at a time,
- * while
- * 10,000 requests a second run. Tells the longest single call of the module, what was collected, and the
- * heap;
- * then the bytes of a server and of a held request. To be run with -Xmx64m, as in service.
+ * A rollout: all 8,000 servers drain and return as new ones within 5 s, in batches of 256, at 10,000 requests per
+ * second. Prints the longest single call of the balancer, the garbage collection time and the heap size; then the bytes
+ * per server and per queued request. To be run with -Xmx64m, as in production.
  */
 public final class PushBench {
 
--- a/src/bench/java/org/cypressweir/loadbalancing/SubsetTreePaperBench.java
+++ b/src/bench/java/org/cypressweir/loadbalancing/SubsetTreePaperBench.java
@@ -18,8 +18,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * The article's own case: 8,000 hosts with 4 labels of 3 values each, the tree of all nodes. Naive: each node
- * goes over all hosts and compares their labels. Index: a bitmap a value, nodes by intersection.
+ * The case of the MOSN article: 8,000 hosts with 4 labels of 3 values each, and the tree of all nodes. Naive: each node
+ * compares the labels of all hosts. Index: one bitmap per value, nodes by intersection.
  */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
@@ -59,7 +59,7 @@
         }
     }
 
-    /** The prefixes of the sorted keys: 3 + 9 + 27 + 81 nodes, as one list of keys gives. */
+    /** The nodes of all prefixes of one list of sorted keys: 3 + 9 + 27 + 81. */
     @Benchmark
     public int naive() {
         List<List<Map<String, String>>> nodes = new ArrayList<>();
@@ -74,7 +74,7 @@
         for (int v = 0; v < VALUES; v++) {
             Map<String, String> next = new HashMap<>(wanted);
             next.put("key" + key, "value" + v);
-            // Each node's hosts are made unique by their addresses, as the article's first form does.
+            // Each node's hosts are deduplicated by address, as in the article's first version.
             Map<String, Map<String, String>> hosts = new HashMap<>();
             for (int i = 0; i < HOSTS; i++) {
                 if (matches(named.get(i), next)) {
@@ -95,7 +95,7 @@
         return true;
     }
 
-    /** The same nodes, all asked for at once; the hosts are put into the index first. */
+    /** The same nodes, all queried in one go after the hosts have been added to the index. */
     @Benchmark
     public int index() {
         SubsetTree<Host> tree = new SubsetTree<>(KEYS);
--- a/src/main/java/org/cypressweir/loadbalancing/CachedMeasurement.java
+++ b/src/main/java/org/cypressweir/loadbalancing/CachedMeasurement.java
@@ -2,23 +2,23 @@
 
 import java.util.function.DoubleSupplier;
 
-/** A figure that is dear to measure, and so measured anew after a while only. */
+/** A value that is expensive to compute, and so is recomputed only once its age reaches an interval. */
 public final class CachedMeasurement {
 
-    private final long everyMicros;
-    private double figure;
+    private final long intervalMicros;
+    private double value;
     private long measuredAt = -1;
 
-    public CachedMeasurement(long everyMicros) {
-        this.everyMicros = everyMicros;
+    public CachedMeasurement(long intervalMicros) {
+        this.intervalMicros = intervalMicros;
     }
 
-    /** As it is now, or was a little while ago. */
+    /** The value now, or as it was less than the interval ago. */
     public double at(long nowMicros, DoubleSupplier measure) {
-        if (measuredAt < 0 || nowMicros - measuredAt >= everyMicros) {
+        if (measuredAt < 0 || nowMicros - measuredAt >= intervalMicros) {
             measuredAt = nowMicros;
-            figure = measure.getAsDouble();
+            value = measure.getAsDouble();
         }
-        return figure;
+        return value;
     }
 }
--- a/src/main/java/org/cypressweir/loadbalancing/DecayingMean.java
+++ b/src/main/java/org/cypressweir/loadbalancing/DecayingMean.java
@@ -1,37 +1,37 @@
 package org.cypressweir.loadbalancing;
 
-/** A mean that fades to 0 while nothing is added, and a rate that does. */
+/** A mean or a rate that decays to 0 while nothing is added. */
 final class DecayingMean {
 
-    private final double span;
+    private final double decayMicros;
     private final double weight;
     private double value;
-    private long at;
+    private long updatedAt;
 
-    /** Fades with this time constant, in microseconds; one more value of a mean has this weight. */
-    DecayingMean(double span, double weight) {
-        this.span = span;
+    /** Creates one with a time constant of decay, in microseconds, and the weight of a new value in a mean. */
+    DecayingMean(double decayMicros, double weight) {
+        this.decayMicros = decayMicros;
         this.weight = weight;
     }
 
     double get(long now) {
-        return value * Math.exp(-(now - at) / span);
+        return value * Math.exp(-(now - updatedAt) / decayMicros);
     }
 
-    /** When it was last added to; 0 for never. */
-    long at() {
-        return at;
+    /** The time of the last update; 0 if there was none. */
+    long updatedAt() {
+        return updatedAt;
     }
 
-    /** Takes a value into the mean. */
-    void mean(long now, double x) {
+    /** Adds a value to the mean. */
+    void addToMean(long now, double x) {
         value = get(now) + weight * (x - get(now));
-        at = now;
+        updatedAt = now;
     }
 
-    /** Counts so much in a rate a microsecond. */
-    void count(long now, double x) {
-        value = get(now) + x / span;
-        at = now;
+    /** Adds an amount to the rate per microsecond. */
+    void addToRate(long now, double x) {
+        value = get(now) + x / decayMicros;
+        updatedAt = now;
     }
 }
--- a/src/main/java/org/cypressweir/loadbalancing/EwmaTable.java
+++ b/src/main/java/org/cypressweir/loadbalancing/EwmaTable.java
@@ -2,20 +2,20 @@
 
 import java.util.Arrays;
 
-/** Exponentially weighted means by number, each of which begins with the same value. */
+/** Exponentially weighted moving averages by number, all with the same initial value. */
 final class EwmaTable {
 
-    private final double first;
+    private final double initial;
     private final double weight;
     private double[] means = {};
 
-    /** With what each begins with, and the weight, 0 to 1, of one more value. */
-    EwmaTable(double first, double weight) {
-        this.first = first;
+    /** Creates a table with the initial value of each mean and the weight, 0 to 1, of a new value. */
+    EwmaTable(double initial, double weight) {
+        this.initial = initial;
         this.weight = weight;
     }
 
-    /** Takes a value in; below 0 there is no number to take it in for. */
+    /** Adds a value to the mean of a number; ignored if the number is below 0, which means none. */
     void add(int number, double value) {
         if (number < 0) {
             return;
@@ -23,12 +23,12 @@
         if (number >= means.length) {
             int known = means.length;
             means = Arrays.copyOf(means, number + 1);
-            Arrays.fill(means, known, number + 1, first);
+            Arrays.fill(means, known, number + 1, initial);
         }
         means[number] += weight * (value - means[number]);
     }
 
     double get(int number) {
-        return number >= 0 && number < means.length ? means[number] : first;
+        return number >= 0 && number < means.length ? means[number] : initial;
     }
 }
--- a/src/main/java/org/cypressweir/loadbalancing/FailureRates.java
+++ b/src/main/java/org/cypressweir/loadbalancing/FailureRates.java
@@ -3,57 +3,57 @@
 import java.util.Arrays;
 
 /**
- * For each class of requests the part that goes unanswered: everywhere, and of one server, which fades to
- * what is so everywhere. A class that is turned away or fails while others are served must not look fast or
- * idle. Room for further classes comes with the first word on them.
+ * The failure rate of each request class: over all servers, and of one server, which decays to the rate over all. A
+ * server that refuses or fails one class while it serves others must not look fast or idle for that class. Arrays grow
+ * with the first result of a further class.
  */
 final class FailureRates {
 
-    /** What one server leaves unanswered. */
-    final class Of {
-        private double[] faults = {};
-        private long[] seenAt = {};
+    /** The failure rates of one server. */
+    final class ServerRates {
+        private double[] rates = {};
+        private long[] updatedAt = {};
 
-        /** Without a word on it, what is so everywhere. */
+        /** The failure rate of a class; that over all servers while there is no result from this one. */
         double get(long now, int c) {
-            if (c >= seenAt.length || seenAt[c] == 0) return everywhere(c);
-            double keep = Math.exp(-(now - seenAt[c]) / span);
-            return everywhere(c) + (faults[c] - everywhere(c)) * keep;
+            if (c >= updatedAt.length || updatedAt[c] == 0) return overall(c);
+            double decay = Math.exp(-(now - updatedAt[c]) / decayMicros);
+            return overall(c) + (rates[c] - overall(c)) * decay;
         }
 
-        /** A request was turned away, failed or hangs. */
+        /** A request was refused, failed or hangs. */
         void failed(long now, int c) {
             set(now, c, (1 + get(now, c)) / 2);
-            all[c] += weight * (1 - all[c]);
+            overall[c] += weight * (1 - overall[c]);
         }
 
-        void answered(long now, int c) {
+        void succeeded(long now, int c) {
             set(now, c, get(now, c) / 2);
-            all[c] -= weight * all[c];
+            overall[c] -= weight * overall[c];
         }
 
-        private void set(long now, int c, double fault) {
-            if (c >= seenAt.length) {
-                faults = Arrays.copyOf(faults, c + 1);
-                seenAt = Arrays.copyOf(seenAt, c + 1);
+        private void set(long now, int c, double rate) {
+            if (c >= updatedAt.length) {
+                rates = Arrays.copyOf(rates, c + 1);
+                updatedAt = Arrays.copyOf(updatedAt, c + 1);
             }
-            if (c >= all.length) all = Arrays.copyOf(all, c + 1);
-            faults[c] = fault;
-            seenAt[c] = now;
+            if (c >= overall.length) overall = Arrays.copyOf(overall, c + 1);
+            rates[c] = rate;
+            updatedAt[c] = now;
         }
     }
 
-    private final double span;
+    private final double decayMicros;
     private final double weight;
-    private double[] all = {};
+    private double[] overall = {};
 
-    /** Fades with this time constant, in microseconds; one more word has this weight everywhere. */
-    FailureRates(double span, double weight) {
-        this.span = span;
+    /** Creates rates with a time constant of decay, in microseconds, and a result's weight in the rates over all. */
+    FailureRates(double decayMicros, double weight) {
+        this.decayMicros = decayMicros;
         this.weight = weight;
     }
 
-    private double everywhere(int c) {
-        return c < all.length ? all[c] : 0;
+    private double overall(int c) {
+        return c < overall.length ? overall[c] : 0;
     }
 }
--- a/src/main/java/org/cypressweir/loadbalancing/IndexedMembers.java
+++ b/src/main/java/org/cypressweir/loadbalancing/IndexedMembers.java
@@ -6,35 +6,35 @@
 import java.util.List;
 
 /**
- * Members in the order of their places, of equals in that of their slots: any of them is at hand by its
- * number,
- * so that a draw costs the same however many there are; a ring walk begins at any place. Some may be marked.
+ * Members in the order of their positions, and of their slots where positions are equal. Access by index takes constant
+ * time, so a random draw costs the same however many there are; a ring walk can begin at any position. Members may be
+ * marked.
  */
 final class IndexedMembers<M extends IndexedMembers.Member> {
 
     private static final Comparator<Member> ORDER =
-            Comparator.<Member>comparingLong(m -> m.place).thenComparingInt(m -> m.slot);
+            Comparator.<Member>comparingLong(m -> m.position).thenComparingInt(m -> m.slot);
 
-    /** What can be a member; place, slot and mark do not change while it is one, but by {@link #mark}. */
+    /** What can be a member; position, slot and mark must not change while it is one, except by {@link #mark}. */
     abstract static class Member {
         int slot = -1;
-        long place;
+        long position;
         boolean marked;
     }
 
     private Member[] members;
     private int size;
-    private final List<M> marked = new ArrayList<>(0);
-    private int turn;
+    private final List<M> markedMembers = new ArrayList<>(0);
+    private int lastMarked;
 
-    /** Of these, in any order; the array is taken over. */
+    /** Creates an index of the given members, in any order; takes ownership of the array. */
     IndexedMembers(Member[] unordered) {
         members = unordered;
         Arrays.sort(members, ORDER);
         size = members.length;
         for (int i = 0; i < size; i++) {
             if (members[i].marked) {
-                marked.add(get(i));
+                markedMembers.add(get(i));
             }
         }
     }
@@ -48,22 +48,22 @@
         return (M) members[index];
     }
 
-    int marked() {
-        return marked.size();
+    int markedCount() {
+        return markedMembers.size();
     }
 
-    /** The marked ones in turn; there must be one. */
+    /** The next marked member, round robin; there must be one. */
     M nextMarked() {
-        turn = (turn + 1) % marked.size();
-        return marked.get(turn);
+        lastMarked = (lastMarked + 1) % markedMembers.size();
+        return markedMembers.get(lastMarked);
     }
 
-    /** Where the first member stands whose place is not before this one; 0 past the last. */
-    int from(long place) {
+    /** The index of the first member whose position is not before the given one; 0 if there is none. */
+    int indexFrom(long position) {
         int low = 0;
         for (int high = size; low < high; ) {
             int middle = (low + high) >>> 1;
-            if (members[middle].place < place) {
+            if (members[middle].position < position) {
                 low = middle + 1;
             } else {
                 high = middle;
@@ -72,7 +72,7 @@
         return low == size ? 0 : low;
     }
 
-    /** Takes in what is no member yet. */
+    /** Adds a member that is not in the index. */
     void insert(M m) {
         int at = -1 - Arrays.binarySearch(members, 0, size, m, ORDER);
         if (size == members.length) {
@@ -83,20 +83,20 @@
         mark(m);
     }
 
-    /** Lets go what is a member. */
+    /** Removes a member that is in the index. */
     void remove(M m) {
         int at = Arrays.binarySearch(members, 0, size, m, ORDER);
         System.arraycopy(members, at + 1, members, at, --size - at);
         members[size] = null;
-        marked.remove(m);
+        markedMembers.remove(m);
     }
 
-    /** Follows a member's mark, which has changed. */
+    /** Updates the index after a member's mark has changed. */
     void mark(M m) {
         if (m.marked) {
-            marked.add(m);
+            markedMembers.add(m);
         } else {
-            marked.remove(m);
+            markedMembers.remove(m);
         }
     }
 }
--- a/src/main/java/org/cypressweir/loadbalancing/LoadBalancer.java
+++ b/src/main/java/org/cypressweir/loadbalancing/LoadBalancer.java
@@ -5,19 +5,20 @@
 import java.util.Set;
 
 /**
- * What a load balancer is told and what it answers. One instance belongs to one client process; it is driven
- * by one thread, reads no clock (every event brings the time) and acts only through {@link Actions}.
+ * A client-side load balancer: its settings, the events it is told of and the actions it takes. One instance belongs
+ * to one client process. It is driven by one thread, reads no clock (every event brings the time) and acts only
+ * through {@link Actions}. All times are in microseconds unless a name says otherwise.
  */
 public interface LoadBalancer {
 
-    /** Whether a request may run more than once. */
+    /** Whether a request may run more than once: always, only where servers deduplicate it by its key, or never. */
     enum Effect {
         SAFE,
         KEYED,
         UNSAFE
     }
 
-    /** Which servers drop the repeats of a keyed request. */
+    /** Which servers share the deduplication of a keyed request. */
     enum Group {
         ALL,
         ZONE,
@@ -31,14 +32,14 @@
         PROBES
     }
 
-    /** What discovery says of a server. */
+    /** The state of a server according to discovery. */
     enum Phase {
         READY,
         DRAINING,
         REMOVED
     }
 
-    /** Kinds of list: changes to the last one, a complete one, the one kept on disk, or a failed call. */
+    /** Kinds of server list: changes to the last one, a complete one, the one cached on disk, or a failed call. */
     enum ListKind {
         CHANGES,
         COMPLETE,
@@ -46,7 +47,7 @@
         FAILED
     }
 
-    /** How an attempt or a probe ended, and whether that proves that the request never ran. */
+    /** How an attempt or a probe ended, and whether that proves that the request did not run. */
     enum Result {
         SERVED(false),
         ERROR(false),
@@ -64,26 +65,30 @@
         }
     }
 
-    /** A class of requests: its effect, its times and what an answer is worth. */
+    /**
+     * A class of requests: whether they may run more than once, their times and what an answer is worth. The latency
+     * target is a fixed time plus the hint factor times the request's hint; an answer after it is worth only the late
+     * share.
+     */
     record RequestClass(
             String name,
             Effect effect,
             Group group,
             long dedupWindowMicros,
             long aimMicros,
-            double aimStretch,
+            double hintFactor,
             long deadlineMicros,
             double worth,
             double lateShare,
             boolean streaming) {
-        /** Holds the place of a class that was dropped, until another takes it. */
+        /** Placeholder for a removed class, until another class takes its number. */
         public static final RequestClass GONE = new RequestClass("", Effect.UNSAFE, Group.ALL, 0, 0, 0, 0, 0, 0, false);
 
         public RequestClass {
             require(
                     aimMicros >= 0 && deadlineMicros >= 0 && dedupWindowMicros >= 0,
                     "class '" + name + "' has a negative time");
-            require(worth >= 0 && lateShare >= 0 && aimStretch >= 0, "class '" + name + "' has a negative worth");
+            require(worth >= 0 && lateShare >= 0 && hintFactor >= 0, "class '" + name + "' has a negative worth");
         }
     }
 
@@ -95,8 +100,8 @@
     }
 
     /**
-     * What the site allows; open is how many requests an instance may have in hand, held how many of them may
-     * wait for a server, connections how many it may keep to servers.
+     * Limits of an instance: attempts per request, open requests, how many of these may be queued for a server, and
+     * connections to servers; and which features it may use.
      */
     record Limits(
             int attempts,
@@ -113,8 +118,8 @@
             require(open >= 0 && held >= 0, "a limit of requests is negative");
         }
 
-        /** The same with others for requests in hand, those of them that wait, and connections. */
-        public Limits with(int otherOpen, int otherHeld, int otherConnections) {
+        /** A copy with other limits of open requests, queued requests and connections. */
+        public Limits with(int otherMaxOpen, int otherMaxQueued, int otherMaxConnections) {
             return new Limits(
                     attempts,
                     cancelling,
@@ -122,77 +127,82 @@
                     retryAdvice,
                     maxRetryAdviceMicros,
                     idleMicros,
-                    otherOpen,
-                    otherHeld,
+                    otherMaxOpen,
+                    otherMaxQueued,
                     secondCopies,
-                    otherConnections);
+                    otherMaxConnections);
         }
     }
 
-    /** At most so many requests under this name in hand, and so many of them waiting for a server. */
-    record Bound(String name, int open, int held) {}
+    /** A limit that several requests share by its name: of open requests, and of those of them that are queued. */
+    record Bound(String name, int maxOpen, int maxQueued) {}
 
     /**
-     * What operators set for a request, within what site and class allow: attempts; the time of one (0: what
-     * the request has left); after which results another may follow; how many further copies may be out at
-     * once, and how long after the copy before; bounds that the request counts for; whether it asks for a
-     * connection that stays, which makes what servers carry beside requests count first.
+     * The operators' policy for a request, within the limits of settings and class: attempts; the time-out of one
+     * (0: the time that the request has left); the results after which a retry may follow; how many hedged requests
+     * may be in flight at once, and the delay of each after the attempt before; the named limits that the request
+     * counts towards; whether it asks for a long-lived connection, for which the load that servers carry beside
+     * requests counts most.
      */
     record Terms(
             int attempts,
             long attemptMicros,
             Set<Result> retryOn,
             int copies,
-            long copyAfterMicros,
-            List<Bound> bounds,
-            boolean stays) {
-        /** Nothing is set: site and class alone say what holds. */
+            long hedgeDelayMicros,
+            List<Bound> limits,
+            boolean longLived) {
+        /** Sets nothing: only the limits of settings and class apply. */
         public static final Terms NONE =
                 new Terms(Integer.MAX_VALUE, 0, Set.copyOf(EnumSet.allOf(Result.class)), 0, 0, List.of(), false);
 
-        /** The same for a request for a connection that stays. */
+        /** The same for a request for a long-lived connection, which is never hedged. */
         public Terms forOneThatStays() {
-            return new Terms(attempts, attemptMicros, retryOn, 0, 0, bounds, true);
+            return new Terms(attempts, attemptMicros, retryOn, 0, 0, limits, true);
         }
 
         public Terms {
             require(
-                    attempts >= 1 && attemptMicros >= 0 && copies >= 0 && copyAfterMicros >= 0,
-                    "a request's terms are out of range");
+                    attempts >= 1 && attemptMicros >= 0 && copies >= 0 && hedgeDelayMicros >= 0,
+                    "a request's policy is out of range");
         }
     }
 
     /**
-     * Figures of the rules on drains, on cold servers and on further attempts: within the look-back at most
-     * the floor and so many for each request taken; a look-back of 0 means that there is no such rule.
+     * Rules on slow start, discovery and retries. A cold server starts at a share of a warm one's traffic and grows
+     * linearly to all of it. The request rate is averaged over twice the fall time. Discovery must be asked once in
+     * an interval. Within a sliding window there may be at most the floor and so many retries per request taken; a
+     * window of 0 means that there is no retry budget.
      */
     record Rules(
-            double coldFrom,
-            long coldMicros,
+            double initialSlowStartShare,
+            long slowStartMicros,
             long fallMicros,
             long askEveryMicros,
-            double extraFloor,
-            double extraPerRequest,
-            long lookBackMicros) {
+            double retryFloor,
+            double retriesPerRequest,
+            long retryWindowMicros) {
         public Rules {
             require(
-                    coldMicros >= 0 && fallMicros >= 0 && askEveryMicros >= 0 && lookBackMicros >= 0,
+                    slowStartMicros >= 0 && fallMicros >= 0 && askEveryMicros >= 0 && retryWindowMicros >= 0,
                     "a rule has a negative time");
             require(
-                    extraFloor >= 0 && extraPerRequest >= 0 && extraPerRequest <= 1,
-                    "the retry budget is negative or above one a request");
+                    retryFloor >= 0 && retriesPerRequest >= 0 && retriesPerRequest <= 1,
+                    "the retry budget is negative or above one retry per request");
         }
 
-        /** What a server that started then (0: long ago) takes by now, as a part of what a warm one does. */
+        /** The slow-start share of a server by its start time (0: long ago): the fraction of a warm one's traffic. */
         public double coldShare(long nowMicros, long startMicros) {
             long age = nowMicros - startMicros;
-            return startMicros <= 0 || age >= coldMicros
+            return startMicros <= 0 || age >= slowStartMicros
                     ? 1
-                    : Math.min(1, coldFrom + (1 - coldFrom) * Math.max(0, age) / coldMicros);
+                    : Math.min(
+                            1,
+                            initialSlowStartShare + (1 - initialSlowStartShare) * Math.max(0, age) / slowStartMicros);
         }
     }
 
-    /** Everything that an instance is handed at its start; the probe price is a fraction of the result. */
+    /** All settings of an instance at its start; the probe price is a fraction of the result. */
     record Settings(
             long seed,
             int rank,
@@ -207,7 +217,7 @@
             Rules rules,
             ReportSource reports,
             boolean discoveryOnAsk,
-            boolean warmKeys,
+            boolean keyAffinity,
             long tickMicros) {
         public Settings {
             require(!classes.isEmpty(), "there are no request classes");
@@ -215,7 +225,7 @@
             require(tickMicros >= 0, "the tick is negative");
         }
 
-        /** The same as one of so many instances. */
+        /** A copy with another number of instances. */
         public Settings among(int instances) {
             return new Settings(
                     seed,
@@ -231,19 +241,19 @@
                     rules,
                     reports,
                     discoveryOnAsk,
-                    warmKeys,
+                    keyAffinity,
                     tickMicros);
         }
 
-        /** The same with these classes; not all of them are gone. */
-        public Settings with(List<RequestClass> others) {
+        /** A copy with these classes, of which at least one must not be a placeholder. */
+        public Settings with(List<RequestClass> otherClasses) {
             return new Settings(
                     seed,
                     rank,
                     replicas,
                     zone,
                     zones,
-                    others,
+                    otherClasses,
                     tenants,
                     overShareWorth,
                     probePrice,
@@ -251,12 +261,12 @@
                     rules,
                     reports,
                     discoveryOnAsk,
-                    warmKeys,
+                    keyAffinity,
                     tickMicros);
         }
 
-        /** The same with other limits and another way to discovery. */
-        public Settings with(Limits other, boolean asks) {
+        /** A copy with other limits and another way of asking discovery. */
+        public Settings with(Limits otherLimits, boolean otherPollsDiscovery) {
             return new Settings(
                     seed,
                     rank,
@@ -267,23 +277,23 @@
                     tenants,
                     overShareWorth,
                     probePrice,
-                    other,
+                    otherLimits,
                     rules,
                     reports,
-                    asks,
-                    warmKeys,
+                    otherPollsDiscovery,
+                    keyAffinity,
                     tickMicros);
         }
     }
 
-    private static void require(boolean held, String otherwise) {
-        if (!held) throw new IllegalArgumentException("settings: " + otherwise);
+    private static void require(boolean condition, String problem) {
+        if (!condition) throw new IllegalArgumentException("settings: " + problem);
     }
 
-    /** A line of a server list. A start time of 0 means long ago. */
+    /** An entry of a server list. A start time of 0 means long ago. */
     record Server(long id, int zone, int kind, int cell, Phase phase, long startMicros, double weight) {}
 
-    /** A request. A key below 0 or a hint of 0 means that there is none. */
+    /** A request. A key below 0 means none, and a hint of 0 that the expected processing time is unknown. */
     record Request(
             String id,
             int requestClass,
@@ -307,11 +317,11 @@
         }
     }
 
-    /** A server's own word on its load; NaN where it says nothing. */
+    /** A server's report on its own load; NaN where it does not report a value. */
     record LoadReport(
             double inFlight, double queue, double utilization, double latencyMillis, double rate, double errorRate) {}
 
-    /** How one attempt ended; closed tells that the client has its final answer. The report may be null. */
+    /** The end of an attempt; closed means that the client has its final answer. The report may be null. */
     record Outcome(
             String requestId,
             int attempt,
@@ -321,7 +331,7 @@
             boolean closed,
             LoadReport report) {}
 
-    /** What the balancer may do, in the order in which it asks for it. */
+    /** The actions of the balancer, to be carried out in the order of the calls. */
     interface Actions {
         void send(String requestId, long server, long timeoutMicros);
 
@@ -331,7 +341,7 @@
 
         void cancel(String requestId, int attempt);
 
-        /** Asks for {@link LoadBalancer#timer} at that time; a timer can't be taken back. */
+        /** Asks for a call of {@link LoadBalancer#timer} at that time; a timer cannot be cancelled. */
         void timer(long atMicros, long token);
 
         void probe(long server);
@@ -339,10 +349,10 @@
         /** Closes this instance's idle connections to a server. */
         void closeIdle(long server);
 
-        /** Asks discovery for changes from now on; answered by a list or a failure. */
+        /** Subscribes to changes from discovery, which answers with a list or a failure. */
         void subscribe();
 
-        /** A line for on-call staff. */
+        /** Logs a line for operators. */
         void log(String line);
     }
 
@@ -350,12 +360,12 @@
 
     void request(long nowMicros, Request request);
 
-    /** The answer of a streamed class has begun: the attempt is the client's now. */
+    /** The response of a streaming class has begun: from now on the attempt belongs to the client. */
     void streamBegan(long nowMicros, String requestId, int attempt, long server, long elapsedMicros);
 
     void outcome(long nowMicros, Outcome outcome);
 
-    /** The client left, or was answered by other means: nothing is owed any more. */
+    /** The client left, or was answered by other means: no answer is due any more. */
     void clientLeft(long nowMicros, String requestId);
 
     void timer(long nowMicros, long token);
@@ -363,25 +373,25 @@
     void probed(long nowMicros, long server, Result result, long elapsedMicros, LoadReport report);
 
     /**
-     * What a server carries beside requests, counted in requests in flight: connections that have gone over
-     * to another protocol and stay; and whether it takes a further one of them now.
+     * The load of a server beside requests, from long-lived connections that were upgraded to another protocol,
+     * in units of requests in flight; and whether the server is full, so that it takes no further such connection.
      */
     default void burden(long nowMicros, long server, double requests, boolean full) {}
 
-    /** Other limits hold from now on; what is in hand stays. */
-    default void limits(long nowMicros, int open, int held, int connections) {}
+    /** Changes the limits; open requests stay. */
+    default void limits(long nowMicros, int maxOpen, int maxQueued, int maxConnections) {}
 
     /**
-     * Other classes and attempts hold for requests from now on; a class that stays keeps its number, and the
-     * number of one that is gone is taken by another only after the last request under it.
+     * Changes the classes and the attempt limit for requests from now on. A class that remains keeps its number, and
+     * the number of a removed one is reused only after the last request under it has ended.
      */
     default void retune(long nowMicros, Settings next) {}
 
-    /** Ready servers that nothing new would be sent to now, whatever the load. */
+    /** The number of ready servers that get no new requests now, whatever the load. */
     default int avoided(long nowMicros) {
         return 0;
     }
 
-    /** No server will come any more: what waits for one is given up, and nothing is tried again. */
+    /** No further servers will come: ends all queued requests and stops retries. */
     default void closing(long nowMicros) {}
 }
--- a/src/main/java/org/cypressweir/loadbalancing/LoadReports.java
+++ b/src/main/java/org/cypressweir/loadbalancing/LoadReports.java
@@ -7,31 +7,31 @@
 import org.cypressweir.common.util.Json;
 import org.cypressweir.loadbalancing.LoadBalancer.LoadReport;
 
-/** A server's word on its load, in the settings' names: as an object, or as the header of an answer. */
+/** Reads a server's load reports, from a JSON object or a response header, with the field names of the settings. */
 public final class LoadReports {
 
-    private static final String FORM = "TEXT ";
+    private static final String PREFIX = "TEXT ";
 
-    private static final double MOST = 1e6;
+    private static final double MAX_VALUE = 1e6;
 
     private LoadReports() {}
 
-    /** The report in an object; what it lacks is unknown. */
+    /** Reads a report from an object; missing fields are NaN. */
     public static LoadReport of(Map<?, ?> m) {
         return new LoadReport(
-                figure(m, "active"),
-                figure(m, "waiting"),
-                figure(m, "cpu"),
-                figure(m, "avg_ms"),
-                figure(m, "rps"),
-                figure(m, "err_rps"));
+                numberOrNaN(m, "active"),
+                numberOrNaN(m, "waiting"),
+                numberOrNaN(m, "cpu"),
+                numberOrNaN(m, "avg_ms"),
+                numberOrNaN(m, "rps"),
+                numberOrNaN(m, "err_rps"));
     }
 
-    private static double figure(Map<?, ?> m, String name) {
+    private static double numberOrNaN(Map<?, ?> m, String name) {
         return Json.doubleValue(m, name, Double.NaN);
     }
 
-    /** The first of the headers that can be read; a broken one may stand before it. */
+    /** Reads the first of the headers that holds a valid report; null if none does. */
     public static LoadReport parse(List<String> headers) {
         return headers.stream()
                 .map(LoadReports::parse)
@@ -41,20 +41,20 @@
     }
 
     /**
-     * Reads {@code TEXT cpu=0.61, rps=140}; null where there is nothing to read. A server may be of another
-     * version or broken, so fields that are unknown, no numbers, below 0 or past belief are passed over: one
-     * of them in a mean would stay there.
+     * Reads a report such as {@code TEXT cpu=0.61, rps=140}; null if there is none. A server may be of another
+     * version or faulty, so fields that are unknown, no numbers, below 0 or above 10^6 are ignored: one of them would
+     * distort a mean for long.
      */
     public static LoadReport parse(String header) {
-        if (header == null || !header.startsWith(FORM)) {
+        if (header == null || !header.startsWith(PREFIX)) {
             return null;
         }
         Map<String, Double> fields = new HashMap<>();
-        for (String field : header.substring(FORM.length()).split(",")) {
+        for (String field : header.substring(PREFIX.length()).split(",")) {
             int equals = field.indexOf('=');
             double value =
                     equals < 0 ? Double.NaN : number(field.substring(equals + 1).trim());
-            if (value >= 0 && value <= MOST) {
+            if (value >= 0 && value <= MAX_VALUE) {
                 fields.put(field.substring(0, equals).trim(), value);
             }
         }
--- a/src/main/java/org/cypressweir/loadbalancing/PendingRequestQueue.java
+++ b/src/main/java/org/cypressweir/loadbalancing/PendingRequestQueue.java
@@ -5,101 +5,101 @@
 import java.util.function.Predicate;
 
 /**
- * Requests that wait for a server, in the order in which they came, parted into lots (of one class and kind,
- * such as inside a tenant's share): the newest of a kind and the oldest of a lot are at hand whatever their
- * number.
+ * Queued requests in the order of arrival, in one lane per request class and priority: the newest of a priority and
+ * the oldest of a lane are found quickly however many are queued. Lane numbers are class x priorities + priority; of
+ * the priorities, 0 is served first.
  */
 final class PendingRequestQueue<T extends PendingRequestQueue.Item> {
 
-    /** What can wait; in one queue at most. */
+    /** A request that can be queued, in one queue at a time. */
     abstract static class Item {
-        Item before;
-        Item after;
-        int lot = -1;
-        long number;
+        Item previous;
+        Item next;
+        int lane = -1;
+        long sequence;
 
-        final boolean isHeld() {
-            return lot >= 0;
+        final boolean isQueued() {
+            return lane >= 0;
         }
     }
 
-    private final int kinds;
+    private final int priorities;
     private Item[] oldest = {};
     private Item[] newest = {};
-    private long numbers;
+    private long lastSequence;
     private int size;
 
-    /** So many kinds of lots; lots of one kind are that many apart; further ones come with use. */
-    PendingRequestQueue(int kinds) {
-        this.kinds = kinds;
+    /** Creates a queue with the given number of priorities; lanes are created on demand. */
+    PendingRequestQueue(int priorities) {
+        this.priorities = priorities;
     }
 
     int size() {
         return size;
     }
 
-    void add(T t, int lot) {
+    void add(T t, int lane) {
         Item item = t;
-        if (lot >= newest.length) {
-            int lots = (lot / kinds + 1) * kinds;
-            oldest = Arrays.copyOf(oldest, lots);
-            newest = Arrays.copyOf(newest, lots);
+        if (lane >= newest.length) {
+            int lanes = (lane / priorities + 1) * priorities;
+            oldest = Arrays.copyOf(oldest, lanes);
+            newest = Arrays.copyOf(newest, lanes);
         }
-        item.lot = lot;
-        item.number = ++numbers;
-        item.before = newest[lot];
-        item.after = null;
-        if (item.before == null) oldest[lot] = item;
-        else item.before.after = item;
-        newest[lot] = item;
+        item.lane = lane;
+        item.sequence = ++lastSequence;
+        item.previous = newest[lane];
+        item.next = null;
+        if (item.previous == null) oldest[lane] = item;
+        else item.previous.next = item;
+        newest[lane] = item;
         size++;
     }
 
-    /** Takes out what is held; anything else stays as it is. */
+    /** Removes an item; does nothing if it is not queued. */
     void remove(T t) {
         Item item = t;
-        if (item.lot < 0) return;
-        if (item.before == null) oldest[item.lot] = item.after;
-        else item.before.after = item.after;
-        if (item.after == null) newest[item.lot] = item.before;
-        else item.after.before = item.before;
-        item.lot = -1;
+        if (item.lane < 0) return;
+        if (item.previous == null) oldest[item.lane] = item.next;
+        else item.previous.next = item.next;
+        if (item.next == null) newest[item.lane] = item.previous;
+        else item.next.previous = item.previous;
+        item.lane = -1;
         size--;
     }
 
-    /** The newest of the first kind of which there are any; null where nothing is held. */
+    /** The newest item of the first priority that has any; null if the queue is empty. */
     T newest() {
         T best = null;
-        for (int kind = 0; kind < kinds && best == null; kind++) {
-            best = newest(kind);
+        for (int priority = 0; priority < priorities && best == null; priority++) {
+            best = newest(priority);
         }
         return best;
     }
 
-    private T newest(int kind) {
+    private T newest(int priority) {
         Item best = null;
-        for (int lot = kind; lot < newest.length; lot += kinds) {
-            if (newest[lot] != null && (best == null || newest[lot].number > best.number)) best = newest[lot];
+        for (int lane = priority; lane < newest.length; lane += priorities) {
+            if (newest[lane] != null && (best == null || newest[lane].sequence > best.sequence)) best = newest[lane];
         }
         return cast(best);
     }
 
-    /** The oldest of a lot that passes; null where none does. */
-    T oldest(int lot, Predicate<T> test) {
-        Item item = lot < oldest.length ? oldest[lot] : null;
-        while (item != null && !test.test(cast(item))) item = item.after;
+    /** The oldest item of a lane that passes the test; null if none does. */
+    T oldest(int lane, Predicate<T> test) {
+        Item item = lane < oldest.length ? oldest[lane] : null;
+        while (item != null && !test.test(cast(item))) item = item.next;
         return cast(item);
     }
 
     boolean isBefore(T one, T other) {
-        return one.number < other.number;
+        return one.sequence < other.sequence;
     }
 
-    /** Shows each; it may take out the one that it is shown. */
+    /** Calls the task with each item; the task may remove that item. */
     void forEach(Consumer<T> task) {
         for (Item first : oldest) {
             for (Item item = first, next; item != null; item = next) {
-                next = item.after;
+                next = item.next;
                 task.accept(cast(item));
             }
         }
--- a/src/main/java/org/cypressweir/loadbalancing/SettingsReader.java
+++ b/src/main/java/org/cypressweir/loadbalancing/SettingsReader.java
@@ -13,40 +13,44 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Settings;
 import org.cypressweir.loadbalancing.LoadBalancer.Tenant;
 
-/** The settings as the simulator and the sidecar's configuration both spell them. */
+/** Reads the settings in the form that the simulator and the sidecar's configuration share. */
 public final class SettingsReader {
 
     private SettingsReader() {}
 
-    /** Turns the settings object into the module's; an {@link IllegalArgumentException} says what is off. */
-    public static Settings read(long seed, Map<?, ?> f) {
+    /**
+     * Reads the settings from a parsed JSON object.
+     *
+     * @throws IllegalArgumentException with a message that names the invalid setting
+     */
+    public static Settings read(long seed, Map<?, ?> fields) {
         List<RequestClass> classes = new ArrayList<>();
-        for (Object o : Json.array(f, "classes")) {
+        for (Object o : Json.array(fields, "classes")) {
             classes.add(requestClass(entry(o, "classes")));
         }
         List<Tenant> tenants = new ArrayList<>();
-        for (Object o : Json.array(f, "tenants")) {
-            Map<?, ?> t = entry(o, "tenants");
-            tenants.add(new Tenant(String.valueOf(t.get("name")), Json.doubleValue(t, "share", 0)));
+        for (Object o : Json.array(fields, "tenants")) {
+            Map<?, ?> tenant = entry(o, "tenants");
+            tenants.add(new Tenant(String.valueOf(tenant.get("name")), Json.doubleValue(tenant, "share", 0)));
         }
-        Map<?, ?> limits = Json.object(f, "policy_limits");
-        Map<?, ?> rules = Json.object(f, "rules");
+        Map<?, ?> limits = Json.object(fields, "policy_limits");
+        Map<?, ?> rules = Json.object(fields, "rules");
         ReportSource reports =
-                switch (String.valueOf(Json.object(f, "report").get("source"))) {
+                switch (String.valueOf(Json.object(fields, "report").get("source"))) {
                     case "answers" -> ReportSource.ANSWERS;
                     case "probe" -> ReportSource.PROBES;
                     default -> ReportSource.NONE;
                 };
         return new Settings(
                 seed,
-                (int) Json.longValue(f, "rank", 0),
-                (int) Json.longValue(f, "replicas_of_me", 1),
-                (int) Json.longValue(f, "zone", 0),
-                names(f, "zones"),
+                (int) Json.longValue(fields, "rank", 0),
+                (int) Json.longValue(fields, "replicas_of_me", 1),
+                (int) Json.longValue(fields, "zone", 0),
+                names(fields, "zones"),
                 classes,
                 tenants,
-                Json.doubleValue(f, "over_share_worth", 1),
-                Json.doubleValue(Json.object(f, "charges"), "probe", 0),
+                Json.doubleValue(fields, "over_share_worth", 1),
+                Json.doubleValue(Json.object(fields, "charges"), "probe", 0),
                 new Limits(
                         (int) Json.longValue(limits, "attempts_cap", 1),
                         Json.flag(limits, "cancelling"),
@@ -67,15 +71,15 @@
                         Json.doubleValue(rules, "extra_per_request", 0),
                         Json.longValue(rules, "look_back_us", 0)),
                 reports,
-                "ask".equals(f.get("discovery")),
-                Json.flag(Json.object(f, "domain"), "warm_keys"),
-                Json.longValue(f, "tick_us", 1000));
+                "ask".equals(fields.get("discovery")),
+                Json.flag(Json.object(fields, "domain"), "warm_keys"),
+                Json.longValue(fields, "tick_us", 1000));
     }
 
-    /** A list of names; its order gives each its number. */
-    public static List<String> names(Map<?, ?> f, String name) {
+    /** Reads a list of names; a name's number is its index. */
+    public static List<String> names(Map<?, ?> fields, String name) {
         List<String> names = new ArrayList<>();
-        for (Object o : Json.array(f, name)) {
+        for (Object o : Json.array(fields, name)) {
             names.add(String.valueOf(o));
         }
         return names;
@@ -88,30 +92,31 @@
         throw new IllegalArgumentException("settings: '" + list + "' must hold objects");
     }
 
-    private static RequestClass requestClass(Map<?, ?> c) {
+    private static RequestClass requestClass(Map<?, ?> fields) {
         Effect effect =
-                switch (String.valueOf(c.get("effect"))) {
+                switch (String.valueOf(fields.get("effect"))) {
                     case "pure" -> Effect.SAFE;
                     case "token" -> Effect.KEYED;
                     case "side_effect" -> Effect.UNSAFE;
-                    default -> throw new IllegalArgumentException("settings: unknown effect '" + c.get("effect") + "'");
+                    default -> throw new IllegalArgumentException(
+                            "settings: unknown effect '" + fields.get("effect") + "'");
                 };
         Group group =
-                switch (String.valueOf(c.get("group"))) {
+                switch (String.valueOf(fields.get("group"))) {
                     case "zone" -> Group.ZONE;
                     case "cell" -> Group.CELL;
                     default -> Group.ALL;
                 };
         return new RequestClass(
-                String.valueOf(c.get("name")),
+                String.valueOf(fields.get("name")),
                 effect,
                 group,
-                Json.longValue(c, "dedup_window_us", 0),
-                Json.longValue(c, "aim_us", 0),
-                Json.doubleValue(c, "aim_stretch", 0),
-                Json.longValue(c, "deadline_us", 0),
-                Json.doubleValue(c, "worth", 1),
-                Json.doubleValue(c, "late_value", 0),
-                Json.flag(c, "streaming"));
+                Json.longValue(fields, "dedup_window_us", 0),
+                Json.longValue(fields, "aim_us", 0),
+                Json.doubleValue(fields, "aim_stretch", 0),
+                Json.longValue(fields, "deadline_us", 0),
+                Json.doubleValue(fields, "worth", 1),
+                Json.doubleValue(fields, "late_value", 0),
+                Json.flag(fields, "streaming"));
     }
 }
--- a/src/main/java/org/cypressweir/loadbalancing/SlidingWindowBudget.java
+++ b/src/main/java/org/cypressweir/loadbalancing/SlidingWindowBudget.java
@@ -3,48 +3,53 @@
 import java.util.ArrayDeque;
 
 /**
- * A budget that holds in every window of a length: at most a floor, and a part of what was earned in it. The
- * worst window begins with something spent; of those beginnings only the ones are kept that leave less room
- * than
- * all after them (a monotonic queue, as for sliding minima), so an answer costs the same however much is
- * spent.
+ * A budget that holds in every window of a given length: at most a floor and a fraction of what was earned in the
+ * window may be spent. The tightest window begins with a spending. Of these starts only those are kept that leave less
+ * budget than all later ones (a monotonic queue, as for sliding minima), so a check takes amortized constant time
+ * however much is spent.
  */
 final class SlidingWindowBudget {
 
-    private final long length;
+    private final long windowMicros;
     private final double floor;
     private final double perEarned;
-    /** When, how much had been earned and how much spent by then. */
-    private final ArrayDeque<long[]> tightest = new ArrayDeque<>();
+    /** The starts of windows: time, total earned and total spent before. */
+    private final ArrayDeque<long[]> windowStarts = new ArrayDeque<>();
 
     private long spent;
 
-    /** Windows of so many microseconds; in each at most the floor and a part, 0 to 1, of what was earned. */
-    SlidingWindowBudget(long length, double floor, double perEarned) {
-        this.length = length;
+    /**
+     * Creates a budget.
+     *
+     * @param windowMicros the length of the windows, in microseconds
+     * @param floor what may be spent in a window even if nothing was earned
+     * @param perEarned the fraction, 0 to 1, of what was earned in a window that may be spent too
+     */
+    SlidingWindowBudget(long windowMicros, double floor, double perEarned) {
+        this.windowMicros = windowMicros;
         this.floor = floor;
         this.perEarned = perEarned;
     }
 
-    /** Whether one more may be spent, so much having been earned so far in all; time does not go back. */
+    /** Whether one more may be spent, given the total earned so far; time must not go back. */
     boolean allows(long now, long earned) {
-        while (!tightest.isEmpty() && now - tightest.peekFirst()[0] > length) {
-            tightest.pollFirst();
+        while (!windowStarts.isEmpty() && now - windowStarts.peekFirst()[0] > windowMicros) {
+            windowStarts.pollFirst();
         }
-        long[] first = tightest.peekFirst();
+        long[] first = windowStarts.peekFirst();
         return (first == null ? 1 : 1 + spent - first[2])
                 <= floor + (first == null ? 0 : perEarned * (earned - first[1]));
     }
 
     void spend(long now, long earned) {
-        long[] one = {now, earned, spent++};
-        while (!tightest.isEmpty() && room(tightest.peekLast()) >= room(one)) {
-            tightest.pollLast();
+        long[] start = {now, earned, spent++};
+        while (!windowStarts.isEmpty() && netSpent(windowStarts.peekLast()) >= netSpent(start)) {
+            windowStarts.pollLast();
         }
-        tightest.addLast(one);
+        windowStarts.addLast(start);
     }
 
-    private double room(long[] one) {
-        return one[2] - perEarned * one[1];
+    private double netSpent(long[] start) {
+        return start[2] - perEarned * start[1];
     }
 }
--- a/src/main/java/org/cypressweir/loadbalancing/SubsetTree.java
+++ b/src/main/java/org/cypressweir/loadbalancing/SubsetTree.java
@@ -4,65 +4,64 @@
 import java.util.BitSet;
 import java.util.List;
 
-/** The subset tree, after MOSN's inverted index (PAPER): one bitmap for each value of each label key, kept up
- * by each change; a node, the servers that carry a value of some keys, is an intersection of bitmaps, made
- * when it is first asked for and patched from then on. A member is in the tree once. Members of a node have
- * an order, by their place and then by when they came, so that a ring walk and a subset of one's own are
- * cheap. */
+/** A subset tree after MOSN's inverted index (PAPER): one bitmap per value of each label key, updated by each change.
+ * A node holds the members with given values of some keys. It is built by an intersection of bitmaps when it is first
+ * asked for, and updated from then on. A member is in the tree at most once. The members of a node are ordered by
+ * position, then by slot, so that a ring walk and a deterministic subset are cheap. */
 final class SubsetTree<M extends SubsetTree.Member> {
 
-    /** Stands for any value of a key; as a label, for none. */
+    /** As a value of a key in a query, any value; as a label, none. */
     static final int ANY = -1;
     private static final int INSERT = 0, REMOVE = 1, MARK = 2;
 
-    /** What can be in the tree; its labels and place hold from when it is added until it is removed. */
+    /** What can be in the tree; its labels and position are valid from when it is added until it is removed. */
     abstract static class Member extends IndexedMembers.Member {
         int[] labels;
 
-        final boolean isIn() {
+        final boolean isInTree() {
             return slot >= 0;
         }
     }
 
     private static final class Branch<M extends Member> {
-        /** By value, the first for any. */
-        private final List<Branch<M>> next = new ArrayList<>(1);
+        /** By value + 1: the first is for {@link #ANY}. */
+        private final List<Branch<M>> children = new ArrayList<>(1);
         private IndexedMembers<M> node;
 
-        private Branch<M> at(int value) {
-            return value + 1 < next.size() ? next.get(value + 1) : null;
+        private Branch<M> child(int value) {
+            return value + 1 < children.size() ? children.get(value + 1) : null;
         }
 
-        private Branch<M> make(int value) {
-            while (next.size() <= value + 1) next.add(null);
-            if (at(value) == null) next.set(value + 1, new Branch<>());
-            return at(value);
+        private Branch<M> getOrCreateChild(int value) {
+            while (children.size() <= value + 1) children.add(null);
+            if (child(value) == null) children.set(value + 1, new Branch<>());
+            return child(value);
         }
     }
 
     private final List<List<BitSet>> index = new ArrayList<>();
     private final List<M> members = new ArrayList<>();
-    /** Slots in use, and those of the node that is being built. */
-    private final BitSet taken = new BitSet(), all = new BitSet();
+    /** Slots in use; scratch space for the slots of a node that is being built. */
+    private final BitSet usedSlots = new BitSet(), matching = new BitSet();
     private int size;
     private Branch<M> root = new Branch<>();
 
-    /** A tree over so many label keys. */
+    /** Creates a tree over the given number of label keys. */
     SubsetTree(int keys) {
         for (int k = 0; k < keys; k++) index.add(new ArrayList<>());
     }
 
-    /** Members in the tree. */
+    /** The number of members in the tree. */
     int size() {
         return size;
     }
 
-    /** Adds a member that is not in, with a value or {@link #ANY} for each key. */
-    void add(M m, long place, int... labels) {
-        m.place = place;
+    /** Adds a member that is not in the tree, with a value or {@link #ANY} for each key. */
+    void add(M m, long position, int... labels) {
+        m.position = position;
         m.labels = labels;
-        m.slot = taken.nextClearBit(0);
-        taken.set(m.slot);
+        m.slot = usedSlots.nextClearBit(0);
+        usedSlots.set(m.slot);
         size++;
         if (m.slot == members.size()) members.add(m);
         else members.set(m.slot, m);
@@ -70,36 +69,36 @@
         visit(root, 0, m, INSERT);
     }
 
-    /** Takes out a member that is in; its mark stays with it. */
+    /** Removes a member that is in the tree; it keeps its mark. */
     void remove(M m) {
         visit(root, 0, m, REMOVE);
         for (int k = 0; k < m.labels.length; k++) if (m.labels[k] >= 0) bits(k, m.labels[k]).clear(m.slot);
         members.set(m.slot, null);
-        taken.clear(m.slot);
+        usedSlots.clear(m.slot);
         size--;
         m.slot = -1;
     }
 
-    /** Marks a member, in the tree or not, or takes its mark away. */
+    /** Marks or unmarks a member, whether or not it is in the tree. */
     void mark(M m, boolean mark) {
         if (m.marked == mark) return;
         m.marked = mark;
-        if (m.isIn()) visit(root, 0, m, MARK);
+        if (m.isInTree()) visit(root, 0, m, MARK);
     }
 
-    /** The node of these values, one for each key. */
+    /** The node of the given values, one for each key. */
     IndexedMembers<M> node(int... values) {
         Branch<M> at = root;
-        for (int value : values) at = at.make(value);
+        for (int value : values) at = at.getOrCreateChild(value);
         if (at.node == null) at.node = build(values);
         return at.node;
     }
 
-    /** Forgets all nodes and members; what they are marked with stays. */
+    /** Removes all nodes and members; the members keep their marks. */
     void clear() {
         for (M m : members) if (m != null) m.slot = -1;
         members.clear();
-        taken.clear();
+        usedSlots.clear();
         size = 0;
         index.forEach(List::clear);
         root = new Branch<>();
@@ -112,20 +111,20 @@
     }
 
     private IndexedMembers<M> build(int[] values) {
-        all.clear();
-        all.or(taken);
-        for (int k = 0; k < values.length; k++) if (values[k] >= 0) all.and(bits(k, values[k]));
-        Member[] found = new Member[all.cardinality()];
+        matching.clear();
+        matching.or(usedSlots);
+        for (int k = 0; k < values.length; k++) if (values[k] >= 0) matching.and(bits(k, values[k]));
+        Member[] found = new Member[matching.cardinality()];
         int count = 0;
-        for (int i = all.nextSetBit(0); i >= 0; i = all.nextSetBit(i + 1)) found[count++] = members.get(i);
+        for (int i = matching.nextSetBit(0); i >= 0; i = matching.nextSetBit(i + 1)) found[count++] = members.get(i);
         return new IndexedMembers<>(found);
     }
 
-    /** Visits the nodes that exist and that the member belongs to: two ways at each key. */
+    /** Updates the existing nodes that the member belongs to: at each key those of any value and of its own. */
     private void visit(Branch<M> branch, int key, M m, int change) {
         if (branch != null && key < index.size()) {
-            visit(branch.at(ANY), key + 1, m, change);
-            if (m.labels[key] >= 0) visit(branch.at(m.labels[key]), key + 1, m, change);
+            visit(branch.child(ANY), key + 1, m, change);
+            if (m.labels[key] >= 0) visit(branch.child(m.labels[key]), key + 1, m, change);
         } else if (branch != null && branch.node != null) {
             if (change == INSERT) branch.node.insert(m);
             else if (change == REMOVE) branch.node.remove(m);
--- a/src/test/java/org/cypressweir/loadbalancing/FleetTest.java
+++ b/src/test/java/org/cypressweir/loadbalancing/FleetTest.java
@@ -20,10 +20,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What hundreds of quiet sidecars change: each test names the failure that it stands for. */
+/** Fleets of hundreds of sidecars with few requests each: each test names the failure that it guards against. */
 class FleetTest {
 
-    private static final long SPAN = 5_000_000;
+    private static final long RETRY_WINDOW_MICROS = 5_000_000;
 
     private static Settings fleet(int rank, int replicas, Rules rules, boolean warmKeys) {
         Settings s = LoadBalancerRecorder.settings(Effect.UNSAFE, Group.ALL);
@@ -45,22 +45,22 @@
                 1000);
     }
 
-    private static Rules plain() {
+    private static Rules rulesWithoutRetryBudget() {
         return new Rules(0.2, 10_000_000, 2_000_000, 10_000_000, 0, 0, 0);
     }
 
-    private static Rules budget(double floor, double perRequest) {
-        return new Rules(0.2, 10_000_000, 2_000_000, 10_000_000, floor, perRequest, SPAN);
+    private static Rules rulesWithRetryBudget(double floor, double perRequest) {
+        return new Rules(0.2, 10_000_000, 2_000_000, 10_000_000, floor, perRequest, RETRY_WINDOW_MICROS);
     }
 
-    /** The grown nairobi broke its budget. By brute force over all windows of a random run. */
+    /** The enlarged nairobi fleet exceeded its retry budget. Checks all windows of a random run by brute force. */
     @ParameterizedTest
     @ValueSource(longs = {3, 4, 5, 6})
     void retryBudgetHoldsInEveryWindow(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        LoadBalancerRecorder r = new LoadBalancerRecorder(fleet(0, 3, budget(2, 0.03), false), 8);
+        LoadBalancerRecorder r = new LoadBalancerRecorder(fleet(0, 3, rulesWithRetryBudget(2, 0.03), false), 8);
         List<Long> arrivals = new ArrayList<>();
-        List<Long> extras = new ArrayList<>();
+        List<Long> retries = new ArrayList<>();
         Set<String> seen = new HashSet<>();
         int next = 0;
         for (int i = 0; i < 3000; i++) {
@@ -69,7 +69,7 @@
             r.request("r" + i);
             for (; next < r.sent.size(); next++) {
                 if (!seen.add(r.sent.get(next).request())) {
-                    extras.add(r.sent.get(next).at());
+                    retries.add(r.sent.get(next).at());
                     r.answer(1, Result.SERVED, 1000, true);
                 } else if (random.nextInt(3) == 0) {
                     r.answer(0, Result.FULL, 0, false);
@@ -78,20 +78,22 @@
                 }
             }
         }
-        assertTrue(extras.size() > 20, "only " + extras.size() + " further attempts");
-        for (long from : extras) {
-            long tries =
-                    extras.stream().filter(t -> t >= from && t < from + SPAN).count();
-            long taken =
-                    arrivals.stream().filter(t -> t >= from && t < from + SPAN).count();
-            assertTrue(tries <= 2 + 0.03 * taken, tries + " further attempts and " + taken + " requests");
+        assertTrue(retries.size() > 20, "only " + retries.size() + " retries");
+        for (long from : retries) {
+            long tries = retries.stream()
+                    .filter(t -> t >= from && t < from + RETRY_WINDOW_MICROS)
+                    .count();
+            long taken = arrivals.stream()
+                    .filter(t -> t >= from && t < from + RETRY_WINDOW_MICROS)
+                    .count();
+            assertTrue(tries <= 2 + 0.03 * taken, tries + " retries and " + taken + " requests");
         }
     }
 
     @Test
-    void quietSidecarHasTheFloorAndAFloorUnderOneAllowsNothing() {
+    void floorAllowsARetryAndAFloorBelowOneAllowsNone() {
         for (double floor : new double[] {2, 0.9}) {
-            LoadBalancerRecorder r = new LoadBalancerRecorder(fleet(0, 3, budget(floor, 0.03), false), 8);
+            LoadBalancerRecorder r = new LoadBalancerRecorder(fleet(0, 3, rulesWithRetryBudget(floor, 0.03), false), 8);
             r.request("x");
             r.answer(0, Result.FULL, 1000, false);
             assertEquals(floor >= 1 ? 2 : 1, r.sent.size());
@@ -99,18 +101,18 @@
     }
 
     @Test
-    void impossibleBudgetsAreNamed() {
-        assertThrows(IllegalArgumentException.class, () -> budget(-1, 0.03));
-        assertThrows(IllegalArgumentException.class, () -> budget(2, -0.1));
-        assertThrows(IllegalArgumentException.class, () -> budget(2, 1.1));
+    void invalidBudgetsAreRejected() {
+        assertThrows(IllegalArgumentException.class, () -> rulesWithRetryBudget(-1, 0.03));
+        assertThrows(IllegalArgumentException.class, () -> rulesWithRetryBudget(2, -0.1));
+        assertThrows(IllegalArgumentException.class, () -> rulesWithRetryBudget(2, 1.1));
     }
 
-    /** 400 instances with a request each second: what all send a cold server is its share, in any second. */
+    /** 400 instances with one request per second: a cold server gets its slow-start share of all in any second. */
     @Test
-    void manyQuietInstancesDoNotBurstAColdServer() {
+    void manyInstancesTogetherSendAColdServerItsSlowStartShare() {
         List<LoadBalancerRecorder> all = new ArrayList<>();
         for (int rank = 0; rank < 400; rank++) {
-            LoadBalancerRecorder r = new LoadBalancerRecorder(fleet(rank, 400, plain(), false), 20);
+            LoadBalancerRecorder r = new LoadBalancerRecorder(fleet(rank, 400, rulesWithoutRetryBudget(), false), 20);
             all.add(r);
             for (int i = 0; i < 5; i++) {
                 r.request("warm" + i);
@@ -131,17 +133,17 @@
                         .count();
                 r.answer(0, Result.SERVED, 10_000, true);
             }
-            // A warm server gets about 40 in a zone that all clients share, a cold one a fifth of it and up.
+            // A warm server gets about 40 in a zone that all clients share, a cold one a fifth of that, growing.
             assertTrue(cold <= 2.5 * 40 * (0.2 + 0.08 * (second + 1)), "second " + second + ": " + cold);
             total += cold;
         }
         assertTrue(total > 10, "a cold server must get some: " + total);
     }
 
-    /** Full connection tables cost the grown sites most: one of many sidecars keeps few servers. */
+    /** Full connection tables were the main loss of enlarged fleets: one of many sidecars must use few servers. */
     @Test
-    void oneOfManyKeepsFewServers() {
-        LoadBalancerRecorder r = new LoadBalancerRecorder(fleet(3, 400, plain(), false), 60);
+    void oneOfManyInstancesUsesFewServers() {
+        LoadBalancerRecorder r = new LoadBalancerRecorder(fleet(3, 400, rulesWithoutRetryBudget(), false), 60);
         for (int i = 0; i < 300; i++) {
             r.now += 800_000;
             r.request("r" + i);
@@ -154,10 +156,10 @@
         assertTrue(servers <= 12, servers + " servers of 60");
     }
 
-    /** Dead idle connections: silence after an idle spell closes the connection, and long spells end. */
+    /** Dead idle connections: a hang after an idle period closes the connection, and long idle periods are avoided. */
     @Test
-    void silenceAfterAnIdleSpellIsADeadConnection() {
-        LoadBalancerRecorder r = new LoadBalancerRecorder(fleet(3, 400, plain(), false), 20);
+    void hangAfterAnIdlePeriodMeansADeadConnection() {
+        LoadBalancerRecorder r = new LoadBalancerRecorder(fleet(3, 400, rulesWithoutRetryBudget(), false), 20);
         for (int i = 0; i < 40; i++) {
             r.request("warm" + i);
             r.answer(0, Result.SERVED, 20_000, true);
@@ -175,10 +177,10 @@
         assertTrue(r.actions.stream().anyMatch(a -> a.startsWith("close ")), "the idle connection stays");
     }
 
-    /** A server that refuses new connections is not sick: no ejection, and it is left alone for a while. */
+    /** A server that refuses new connections is not faulty: it is not ejected, and gets none for a while. */
     @Test
     void refusedConnectionIsNotAnOutlier() {
-        LoadBalancerRecorder r = new LoadBalancerRecorder(fleet(3, 400, plain(), false), 20);
+        LoadBalancerRecorder r = new LoadBalancerRecorder(fleet(3, 400, rulesWithoutRetryBudget(), false), 20);
         for (int i = 0; i < 6; i++) {
             r.request("r" + i);
             int last = r.sent.size();
@@ -189,10 +191,10 @@
         assertTrue(r.actions.stream().noneMatch(a -> a.contains("ejected")), r.actions.toString());
     }
 
-    /** Retry abuse on lakes-later: time-outs set by impatient clients got good servers ejected. */
+    /** Retry abuse on lakes-later: short time-outs of impatient clients caused ejections of healthy servers. */
     @Test
     void impatientClientsDoNotEjectServers() {
-        LoadBalancerRecorder r = new LoadBalancerRecorder(fleet(3, 400, plain(), false), 20);
+        LoadBalancerRecorder r = new LoadBalancerRecorder(fleet(3, 400, rulesWithoutRetryBudget(), false), 20);
         for (int i = 0; i < 30; i++) {
             r.request("r" + i);
             r.answer(0, Result.TIMED_OUT, 20_000, false);
@@ -200,22 +202,22 @@
         assertTrue(r.actions.stream().noneMatch(a -> a.contains("ejected")), r.actions.toString());
     }
 
-    /** Keys that servers remember go to the same server from every sidecar of a zone with the same cells. */
+    /** Where servers keep state for keys, all sidecars of a zone with the same cells send a key to the same server. */
     @Test
-    void keysMeetTheSameServer() {
+    void keyGoesToTheSameServerFromAllInstances() {
         Set<Long> servers = new HashSet<>();
         for (int rank = 0; rank < 30; rank++) {
-            LoadBalancerRecorder r = new LoadBalancerRecorder(fleet(rank, 400, plain(), true), 60);
+            LoadBalancerRecorder r = new LoadBalancerRecorder(fleet(rank, 400, rulesWithoutRetryBudget(), true), 60);
             r.choice.request(r.now, new Request("x", 0, 0, false, 77, r.now + 1_000_000, 0, false));
             servers.add(r.sent.get(0).server());
         }
         assertEquals(1, servers.size());
     }
 
-    /** What left the list is used no longer, however often the list changes. */
+    /** Servers that have left the list are not used, however often the list changes. */
     @Test
-    void whatLeftTheListIsNotUsed() {
-        LoadBalancerRecorder r = new LoadBalancerRecorder(fleet(0, 3, plain(), false), 6);
+    void unlistedServersAreNotUsed() {
+        LoadBalancerRecorder r = new LoadBalancerRecorder(fleet(0, 3, rulesWithoutRetryBudget(), false), 6);
         for (int round = 0; round < 50; round++) {
             long id = 100 + round;
             r.choice.servers(
--- a/src/test/java/org/cypressweir/loadbalancing/LargeFleetTest.java
+++ b/src/test/java/org/cypressweir/loadbalancing/LargeFleetTest.java
@@ -26,14 +26,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Fleets whose nodes are too large to be walked: what the draws must keep of what a walk promises. */
+/** Fleets whose nodes are too large to be scanned: random draws must keep the guarantees of a scan. */
 class LargeFleetTest {
 
-    private static final long COLD = 10_000_000;
-    /** Ten zones and all servers in one that is not the own: the first node on a path holds some forty. */
+    private static final long SLOW_START_MICROS = 10_000_000;
+    /** Ten zones with all servers in another one than the instance's: the first node on a path holds about forty. */
     private static final List<String> ZONES = List.of("a", "b", "c", "d", "e", "f", "g", "h", "i", "j");
 
-    private static final int ELSEWHERE = 5;
+    private static final int OTHER_ZONE = 5;
 
     private static Settings settings(boolean warmKeys) {
         Settings s = LoadBalancerRecorder.settings(Effect.SAFE, Group.ALL);
@@ -56,7 +56,7 @@
     }
 
     private static Server server(long id, Phase phase, long start) {
-        return new Server(id, ELSEWHERE, 0, 0, phase, start, 1);
+        return new Server(id, OTHER_ZONE, 0, 0, phase, start, 1);
     }
 
     private static LoadBalancerRecorder fleet(int size, boolean warmKeys) {
@@ -73,7 +73,7 @@
         r.choice.servers(r.now, ListKind.CHANGES, List.of(changed));
     }
 
-    /** Sends a request that its client leaves, which teaches the module nothing; where it went, or -1. */
+    /** Sends a request that its client cancels, so that the balancer learns nothing; returns the server, or -1. */
     private static long probe(LoadBalancerRecorder r, String id, long key) {
         int before = r.sent.size();
         r.choice.request(r.now, new Request(id, 0, 0, false, key, r.now + 1_000_000, 0, false));
@@ -96,26 +96,26 @@
             counts.merge(probe(r, salt + "-" + i, -1), 1, Integer::sum);
         }
         assertEquals(1_000, counts.size(), "some are never drawn");
-        // A cell is drawn evenly, and within a cell its servers: so within each cell counts differ by chance.
+        // Cells are drawn uniformly, and so are servers within a cell: within each cell counts differ by chance only.
         Map<Integer, List<Integer>> cells = new HashMap<>();
         int count = (int) (0.5 + 1_000 / 40.0);
         counts.forEach((id, n) -> cells.computeIfAbsent(Hashes.jump(Hashes.mix(id, 0), count), c -> new ArrayList<>())
                 .add(n));
         double chiSquared = 0;
-        int freedom = 0;
+        int degreesOfFreedom = 0;
         for (List<Integer> cell : cells.values()) {
             double mean = cell.stream().mapToInt(n -> n).average().orElseThrow();
             chiSquared += cell.stream()
                     .mapToDouble(n -> (n - mean) * (n - mean) / mean)
                     .sum();
-            freedom += cell.size() - 1;
+            degreesOfFreedom += cell.size() - 1;
         }
         assertTrue(
-                Math.abs(chiSquared - freedom) < 4 * Math.sqrt(2.0 * freedom),
-                "chi-squared " + chiSquared + " at " + freedom + " degrees");
+                Math.abs(chiSquared - degreesOfFreedom) < 4 * Math.sqrt(2.0 * degreesOfFreedom),
+                "chi-squared " + chiSquared + " at " + degreesOfFreedom + " degrees");
     }
 
-    /** 95% have as many requests out as they may; each further request still finds one of the others. */
+    /** 95% of the servers are at their limit; each further request still finds one of the others. */
     @Test
     void oneWithRoomIsFoundAmongNineteenThatHaveNone() {
         LoadBalancerRecorder r = fleet(2_000, false);
@@ -143,7 +143,7 @@
         assertTrue(missed <= 2, missed + " of 2000 found none");
     }
 
-    /** The sum over all requests is the share that a walk over all members would give. */
+    /** The sum over all requests is the share that a scan of all members would give. */
     @Test
     void coldServersGetTheirShareAndNoMore() {
         LoadBalancerRecorder r = fleet(1_000, false);
@@ -158,22 +158,22 @@
         for (int i = 0; i < requests; i++) {
             toCold += probe(r, "c" + i, -1) <= 200 ? 1 : 0;
         }
-        // Theirs of what the fleet can do: a fifth of a warm one's, of which there are 840 in all.
+        // Their part of the fleet's capacity: a fifth of a warm server's each, of 840 warm servers' in all.
         double fair = requests * 200 * 0.2 / 840;
         assertTrue(toCold > 0.8 * fair && toCold < 1.2 * fair, toCold + " to the cold, fair " + fair);
     }
 
     /**
-     * Each cold server was sent its share of an even part, and the rest went to the few warm ones. Sent by
-     * what the whole fleet can do, it has more, but never more than 1.4 times its share.
+     * Each cold server got its slow-start share of an even part, and the rest overloaded the few warm ones. In
+     * proportion to the capacity of the whole fleet it gets more, but never more than 1.4 times its share.
      */
     @ParameterizedTest
     @CsvSource({"6, 1.32", "12, 1.4", "18, 1.4"})
-    void aFleetThatIsMostlyColdSendsByWhatEachCanDo(int colds, double more) {
+    void mostlyColdFleetSendsByCapacity(int coldCount, double factor) {
         LoadBalancerRecorder r = fleet(20, false);
         r.now = 50_000_000;
         List<Server> cold = new ArrayList<>();
-        for (long id = 1; id <= colds; id++) {
+        for (long id = 1; id <= coldCount; id++) {
             cold.add(server(id, Phase.READY, r.now));
         }
         change(r, cold.toArray(Server[]::new));
@@ -181,17 +181,17 @@
         int toCold = 0;
         for (int i = 0; i < requests; i++) {
             long server = probe(r, "m" + i, -1);
-            toCold += server > 0 && server <= colds ? 1 : 0;
+            toCold += server > 0 && server <= coldCount ? 1 : 0;
         }
-        double share = requests * 0.2 * colds / 20;
-        // The first that a request's luck lets in has it, so several that it lets in count as one.
+        double share = requests * 0.2 * coldCount / 20;
+        // The first cold server that a request's hash admits gets it, so several that it admits count as one.
         assertTrue(
-                toCold > 0.8 * more * share && toCold < 1.05 * more * share,
+                toCold > 0.8 * factor * share && toCold < 1.05 * factor * share,
                 toCold + " to the cold, by share " + share);
     }
 
     @Test
-    void allColdIsServedByTheirShare() {
+    void entirelyColdFleetAdmitsItsSlowStartShare() {
         LoadBalancerRecorder r = fleet(1_000, false);
         r.now = 50_000_000;
         List<Server> cold = new ArrayList<>();
@@ -206,9 +206,9 @@
         assertTrue(sent > 2_000 && sent < 5_500, sent + " of 10000 sent, the cold share is 0.2");
     }
 
-    /** Ejected servers are no candidates of a draw, but each has its trials and comes back. */
+    /** Draws skip ejected servers, but each gets its trial requests and is re-admitted. */
     @Test
-    void theEjectedComeBack() {
+    void ejectedServersAreReadmitted() {
         LoadBalancerRecorder r = fleet(400, false);
         List<LoadBalancerRecorder.Sent> silent = new ArrayList<>();
         for (int i = 0; i < 3_000; i++) {
@@ -231,7 +231,7 @@
         silent.forEach(s -> r.choice.outcome(
                 r.now, new Outcome(s.request(), 0, s.server(), Result.TIMED_OUT, 1_000_000, false, null)));
         r.choice.clientLeft(r.now, "last");
-        int back = 0;
+        int readmitted = 0;
         for (int i = 0; i < 200_000; i++) {
             int before = r.sent.size();
             r.now += 200;
@@ -242,20 +242,20 @@
             }
         }
         for (long id : ejected) {
-            back += r.actions.contains("log server " + id + " re-admitted") ? 1 : 0;
+            readmitted += r.actions.contains("log server " + id + " re-admitted") ? 1 : 0;
         }
-        assertEquals(ejected.size(), back, "re-admitted");
+        assertEquals(ejected.size(), readmitted, "re-admitted");
     }
 
-    /** A key keeps its server while others come, go and flap about a boundary of the count of cells. */
+    /** A key keeps its server while others drain, return and flap around a boundary of the cell count. */
     @Test
     void aKeyKeepsItsServer() {
         LoadBalancerRecorder r = fleet(1_000, true);
-        Map<Long, Long> homes = new HashMap<>();
+        Map<Long, Long> serverByKey = new HashMap<>();
         for (long key = 0; key < 500; key++) {
-            homes.put(key, probe(r, "k" + key, key));
+            serverByKey.put(key, probe(r, "k" + key, key));
         }
-        assertTrue(new HashSet<>(homes.values()).size() > 300, "keys share few servers");
+        assertTrue(new HashSet<>(serverByKey.values()).size() > 300, "keys share few servers");
         SplittableRandom random = new SplittableRandom(8);
         int moved = 0;
         int asked = 0;
@@ -265,9 +265,9 @@
             for (long key = 0; key < 500; key += 5) {
                 long now = probe(r, round + "k" + key, key);
                 asked++;
-                if (homes.get(key) == gone) {
+                if (serverByKey.get(key) == gone) {
                     assertFalse(now == gone, "sent to one that drains");
-                } else if (now != homes.get(key)) {
+                } else if (now != serverByKey.get(key)) {
                     moved++;
                 }
             }
@@ -276,9 +276,9 @@
         assertTrue(moved < asked / 100, moved + " of " + asked + " moved with another's server");
     }
 
-    /** The count of cells hangs at its boundary: a fleet does not move for it. */
+    /** The number of servers flaps around a boundary of the cell count: no key moves. */
     @Test
-    void aFlappingCountOfCellsMovesNobody() {
+    void flappingCellCountMovesNoKeys() {
         LoadBalancerRecorder r = fleet(1_019, true);
         List<Long> before = new ArrayList<>();
         for (long key = 0; key < 300; key++) {
@@ -294,10 +294,10 @@
     }
 
     /**
-     * Another count of cells takes turns: all are served meanwhile, and in the end a key is where it belongs.
+     * A new cell count is applied in several turns: all keys are served meanwhile, and end at their new server.
      */
     @Test
-    void anotherCountOfCellsIsTakenOverInTurns() {
+    void newCellCountIsAppliedInTurns() {
         LoadBalancerRecorder grown = fleet(1_000, true);
         grown.fireTimers();
         List<Server> all = new ArrayList<>();
@@ -326,11 +326,11 @@
     }
 
     /**
-     * Servers come, drain, restart and go at random; a drained one gets nothing from the moment it is told.
+     * Servers join, drain, restart and leave at random; a draining one gets nothing once the list says so.
      */
     @ParameterizedTest
     @ValueSource(longs = {21, 22})
-    void whoDrainsGetsNothingMore(long seed) {
+    void drainingServersGetNothingMore(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         LoadBalancerRecorder r = fleet(600, false);
         Map<Long, Phase> phases = new HashMap<>();
@@ -341,7 +341,7 @@
                 long id = 1 + random.nextInt(600);
                 Phase phase = Phase.values()[random.nextInt(3)];
                 phases.put(id, phase);
-                change(r, server(id, phase, random.nextInt(4) == 0 ? r.now - COLD - 1 : 0));
+                change(r, server(id, phase, random.nextInt(4) == 0 ? r.now - SLOW_START_MICROS - 1 : 0));
             }
             int before = r.sent.size();
             r.request("w" + i);
@@ -350,7 +350,7 @@
                 assertEquals(Phase.READY, phases.getOrDefault(server, Phase.READY), "seed " + seed);
                 out.put("w" + i, server);
             }
-            // A change may find attempts out at its server; they end later.
+            // A server may change while attempts to it are in flight; they end later.
             if (out.size() > 40) {
                 String id = out.keySet().iterator().next();
                 r.choice.outcome(r.now, new Outcome(id, 0, out.remove(id), Result.SERVED, 20_000, true, null));
@@ -359,9 +359,9 @@
         assertTrue(r.sent.size() > 20_000, "sent " + r.sent.size());
     }
 
-    /** All of a cell's servers go while a request is held: it goes to another cell. */
+    /** All of a cell's servers are removed: its requests go to another cell. */
     @Test
-    void aCellThatEmptiesIsLeft() {
+    void requestsLeaveAnEmptyCell() {
         LoadBalancerRecorder r = fleet(1_000, true);
         int count = (int) (0.5 + 1_000 / 40.0);
         long home = probe(r, "x", 77);
@@ -395,7 +395,7 @@
         assertEquals(2, probe(r, "e", -1));
     }
 
-    /** A sidecar that can keep few connections uses a part of a large fleet, each sidecar another part. */
+    /** A sidecar with few connections uses a subset of a large fleet, and each sidecar another subset. */
     @Test
     void connectionsDoNotGrowWithTheFleet() {
         Set<Long> all = new HashSet<>();
@@ -406,7 +406,7 @@
                             rank,
                             rank,
                             6,
-                            ELSEWHERE,
+                            OTHER_ZONE,
                             ZONES,
                             s.classes(),
                             List.of(),
@@ -434,7 +434,7 @@
         assertTrue(all.size() > 450, "all of them use the same " + all.size());
     }
 
-    /** A queue of thousands: each answer serves the newest, whatever else waits. */
+    /** With thousands of queued requests, each answer lets the newest be sent. */
     @Test
     void thousandsHeldAreServedNewestFirst() {
         LoadBalancerRecorder r = new LoadBalancerRecorder(settings(false), 0);
--- a/src/test/java/org/cypressweir/loadbalancing/LoadBalancerRecorder.java
+++ b/src/test/java/org/cypressweir/loadbalancing/LoadBalancerRecorder.java
@@ -18,7 +18,7 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Settings;
 import org.cypressweir.loadbalancing.LoadBalancer.Tenant;
 
-/** Records what an instance does; it has no model of servers, tests say what comes back. */
+/** Records the actions of an instance. It has no model of servers: tests supply the answers. */
 final class LoadBalancerRecorder implements Actions {
     final List<String> actions = new ArrayList<>();
     final List<Sent> sent = new ArrayList<>();
@@ -67,7 +67,7 @@
         choice.request(now, new Request(id, 0, 0, false, -1, now + 1_000_000, 0, false));
     }
 
-    /** Ends the last attempt that was sent. */
+    /** Ends the last attempt that was sent, with the given result. */
     void answer(int attempt, Result result, long elapsed, boolean closed) {
         Sent last = sent.get(sent.size() - 1);
         now += elapsed;
--- a/src/test/java/org/cypressweir/loadbalancing/LoadBalancerScenario.java
+++ b/src/test/java/org/cypressweir/loadbalancing/LoadBalancerScenario.java
@@ -29,10 +29,9 @@
 import org.cypressweir.loadbalancing.LoadBalancer.Terms;
 
 /**
- * Simulated servers and clients, driven by a seed, around one {@link SubsetLoadBalancer}: everything that it
- * does is recorded with its time. Servers queue, turn requests away, fail, hang, refuse connections, restart,
- * drain and leave; load comes in bursts; settings change on the way. The record depends on nothing but the
- * settings, the seed and the decisions.
+ * Simulated servers and clients, driven by a seed, around one {@link SubsetLoadBalancer}, whose actions are recorded
+ * with their times. Servers queue and reject requests, fail, hang, refuse connections, restart, drain and leave; load
+ * comes in bursts; settings change during the run. The record depends only on the settings, the seed and the decisions.
  */
 final class LoadBalancerScenario implements Actions {
 
@@ -47,7 +46,7 @@
     private static final int ZONES = 2;
     private static final int CELLS = 3;
     private static final int KINDS = 2;
-    private static final int WAVE = 400;
+    private static final int LOAD_PHASE_REQUESTS = 400;
 
     private static final List<Terms> TERMS = List.of(
             Terms.NONE,
@@ -73,7 +72,7 @@
             Terms.NONE.forOneThatStays());
 
     private enum Condition {
-        WELL,
+        HEALTHY,
         SLOW,
         FAILING,
         HANGING,
@@ -82,12 +81,12 @@
     }
 
     private static final class SimulatedServer {
-        private Server line;
-        private Condition condition = Condition.WELL;
+        private Server entry;
+        private Condition condition = Condition.HEALTHY;
         private int inFlight;
 
-        private SimulatedServer(Server line) {
-            this.line = line;
+        private SimulatedServer(Server entry) {
+            this.entry = entry;
         }
     }
 
@@ -130,7 +129,7 @@
     private long sequence;
     private long nextServerId = 1;
 
-    /** The settings, the seed of the world around the balancer, its servers and the mean time between requests. */
+    /** The seed drives all that surrounds the balancer; the gap is the mean time between requests. */
     LoadBalancerScenario(Settings settings, long seed, int serverCount, long meanGapMicros) {
         this.settings = settings;
         this.meanGapMicros = meanGapMicros;
@@ -141,12 +140,12 @@
         }
     }
 
-    /** Runs so many requests and all that follows from them. */
+    /** Runs the given number of requests and all events that follow from them. */
     void run(int requestCount) {
-        at(now, () -> list(settings.discoveryOnAsk() ? ListKind.CACHED : ListKind.COMPLETE, lines()));
+        at(now, () -> list(settings.discoveryOnAsk() ? ListKind.CACHED : ListKind.COMPLETE, entries()));
         long at = now + 1;
         for (int i = 0; i < requestCount; i++) {
-            boolean burst = i / WAVE % 3 == 1;
+            boolean burst = i / LOAD_PHASE_REQUESTS % 3 == 1;
             at += 1 + (long) (random.nextDouble() * 2 * meanGapMicros / (burst ? 6 : 1));
             String id = "r" + i;
             at(at, () -> request(id));
@@ -166,17 +165,17 @@
         }
     }
 
-    /** Every action in its order, one a line. */
+    /** All actions in their order, one per line. */
     List<String> actions() {
         return Collections.unmodifiableList(record);
     }
 
-    /** How many actions of each kind there were, and a digest over all of them. */
+    /** The number of actions of each kind, and a digest of all actions. */
     String summary() {
         return counts + " " + digest();
     }
 
-    /** Kinds of actions that were recorded, with the number of each. */
+    /** The number of recorded actions of each kind. */
     Map<String, Integer> counts() {
         return Collections.unmodifiableMap(counts);
     }
@@ -204,18 +203,18 @@
 
     private Server addServer(long startMicros) {
         long id = nextServerId++;
-        Server line = new Server(
+        Server entry = new Server(
                 id, (int) (id % ZONES), (int) (id / 2 % KINDS), (int) (id % CELLS), Phase.READY, startMicros, 1);
-        servers.put(id, new SimulatedServer(line));
-        return line;
+        servers.put(id, new SimulatedServer(entry));
+        return entry;
     }
 
-    private List<Server> lines() {
-        return servers.values().stream().map(server -> server.line).toList();
+    private List<Server> entries() {
+        return servers.values().stream().map(server -> server.entry).toList();
     }
 
-    private void list(ListKind kind, List<Server> lines) {
-        balancer.servers(now, kind, lines);
+    private void list(ListKind kind, List<Server> entries) {
+        balancer.servers(now, kind, entries);
     }
 
     private SimulatedServer anyServer() {
@@ -223,37 +222,37 @@
         return all.get(random.nextInt(all.size()));
     }
 
-    private Server in(Server line, Phase phase, long startMicros) {
-        return new Server(line.id(), line.zone(), line.kind(), line.cell(), phase, startMicros, line.weight());
+    private Server in(Server entry, Phase phase, long startMicros) {
+        return new Server(entry.id(), entry.zone(), entry.kind(), entry.cell(), phase, startMicros, entry.weight());
     }
 
-    /** One change of the world: of a server, of the list, of what operators set. */
+    /** Makes one random change: of a server, of the list or of settings. */
     private void change() {
         SimulatedServer server = anyServer();
         switch (random.nextInt(14)) {
             case 0, 1, 2 -> server.condition = Condition.values()[random.nextInt(Condition.values().length)];
-            case 3 -> servers.values().forEach(each -> each.condition = Condition.WELL);
+            case 3 -> servers.values().forEach(each -> each.condition = Condition.HEALTHY);
             case 4 -> {
-                Phase phase = server.line.phase() == Phase.READY ? Phase.DRAINING : Phase.READY;
-                server.line = in(server.line, phase, server.line.startMicros());
-                list(ListKind.CHANGES, List.of(server.line));
+                Phase phase = server.entry.phase() == Phase.READY ? Phase.DRAINING : Phase.READY;
+                server.entry = in(server.entry, phase, server.entry.startMicros());
+                list(ListKind.CHANGES, List.of(server.entry));
             }
             case 5 -> {
-                server.condition = Condition.WELL;
-                server.line = in(server.line, Phase.READY, now);
-                list(ListKind.CHANGES, List.of(server.line));
+                server.condition = Condition.HEALTHY;
+                server.entry = in(server.entry, Phase.READY, now);
+                list(ListKind.CHANGES, List.of(server.entry));
             }
             case 6 -> remove(server);
             case 7 -> list(ListKind.CHANGES, List.of(addServer(now), addServer(0)));
-            case 8 -> list(ListKind.COMPLETE, lines());
+            case 8 -> list(ListKind.COMPLETE, entries());
             case 9 -> list(ListKind.FAILED, List.of());
-            case 10 -> balancer.burden(now, server.line.id(), random.nextInt(20), random.nextInt(3) == 0);
+            case 10 -> balancer.burden(now, server.entry.id(), random.nextInt(20), random.nextInt(3) == 0);
             case 11 -> {
                 int open = 40 + random.nextInt(100);
                 balancer.limits(now, open, open / 2, 40 + random.nextInt(400));
             }
             case 12 -> balancer.retune(now, settings.with(changedClasses()));
-            default -> someFail();
+            default -> changeSomeConditions();
         }
     }
 
@@ -261,20 +260,20 @@
         if (servers.size() <= 2) {
             return;
         }
-        servers.remove(server.line.id());
+        servers.remove(server.entry.id());
         if (random.nextBoolean()) {
-            list(ListKind.CHANGES, List.of(in(server.line, Phase.REMOVED, server.line.startMicros())));
+            list(ListKind.CHANGES, List.of(in(server.entry, Phase.REMOVED, server.entry.startMicros())));
         } else {
-            list(ListKind.COMPLETE, lines());
+            list(ListKind.COMPLETE, entries());
         }
     }
 
-    private void someFail() {
+    private void changeSomeConditions() {
         Condition condition = Condition.values()[random.nextInt(Condition.values().length)];
         servers.values().forEach(each -> each.condition = random.nextInt(4) == 0 ? condition : each.condition);
     }
 
-    /** Other times and worths; the last place stands for a class that was dropped, now and then. */
+    /** The classes with other targets and worths; sometimes the last one is removed. */
     private List<RequestClass> changedClasses() {
         List<RequestClass> changed = new ArrayList<>();
         for (RequestClass each : settings.classes()) {
@@ -285,7 +284,7 @@
                     each.group(),
                     each.dedupWindowMicros(),
                     (long) (each.aimMicros() * factor),
-                    each.aimStretch(),
+                    each.hintFactor(),
                     each.deadlineMicros(),
                     each.worth() * factor,
                     each.lateShare(),
@@ -340,7 +339,7 @@
             result = random.nextBoolean() ? Result.BROKEN : Result.NOT_SENT;
         }
         switch (server.condition) {
-            case WELL -> {}
+            case HEALTHY -> {}
             case SLOW -> took *= 6;
             case FAILING -> result = random.nextInt(3) == 0 ? result : Result.ERROR;
             case HANGING -> took = Long.MAX_VALUE / 4;
@@ -367,7 +366,7 @@
     private void streamBegan(ClientRequest client, int number, long sentAt) {
         Attempt attempt = client.attempts.get(number);
         if (!attempt.ended && !client.closed) {
-            balancer.streamBegan(now, client.request.id(), number, attempt.server.line.id(), now - sentAt);
+            balancer.streamBegan(now, client.request.id(), number, attempt.server.entry.id(), now - sentAt);
         }
     }
 
@@ -386,7 +385,13 @@
         balancer.outcome(
                 now,
                 new Outcome(
-                        client.request.id(), number, attempt.server.line.id(), result, elapsed, client.closed, report));
+                        client.request.id(),
+                        number,
+                        attempt.server.entry.id(),
+                        result,
+                        elapsed,
+                        client.closed,
+                        report));
     }
 
     private LoadReport report(SimulatedServer server) {
@@ -395,7 +400,7 @@
         return new LoadReport(inFlight, Math.max(0, server.inFlight - CORES), utilization, 1, 1, 0);
     }
 
-    // ---- What the balancer does
+    // ---- Actions of the balancer
 
     @Override
     public void send(String requestId, long server, long timeoutMicros) {
@@ -450,7 +455,7 @@
     @Override
     public void subscribe() {
         note("subscribe", "");
-        at(now + 1_000, () -> list(random.nextInt(3) == 0 ? ListKind.FAILED : ListKind.COMPLETE, lines()));
+        at(now + 1_000, () -> list(random.nextInt(3) == 0 ? ListKind.FAILED : ListKind.COMPLETE, entries()));
     }
 
     @Override
--- a/src/test/java/org/cypressweir/loadbalancing/PendingRequestQueueTest.java
+++ b/src/test/java/org/cypressweir/loadbalancing/PendingRequestQueueTest.java
@@ -8,14 +8,14 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Queue, budget, tally and shares against what they stand for, word by word. */
+/** Compares queue, retry budget, counters and accounts with plain implementations of their definitions. */
 class PendingRequestQueueTest {
 
     private static final class Waiting extends PendingRequestQueue.Item {
-        private final int wanted;
+        private final int lane;
 
-        Waiting(int wanted) {
-            this.wanted = wanted;
+        Waiting(int lane) {
+            this.lane = lane;
         }
     }
 
@@ -28,7 +28,7 @@
         for (int round = 0; round < 20_000; round++) {
             if (plain.isEmpty() || random.nextInt(100) < 52) {
                 Waiting one = new Waiting(random.nextInt(6));
-                queue.add(one, one.wanted);
+                queue.add(one, one.lane);
                 plain.add(one);
             } else {
                 Waiting one = plain.remove(random.nextInt(plain.size()));
@@ -41,22 +41,22 @@
             for (int kind = 2; kind >= 0; kind--) {
                 int k = kind;
                 newest = plain.stream()
-                        .filter(w -> w.wanted % 3 == k)
+                        .filter(w -> w.lane % 3 == k)
                         .reduce((x, y) -> y)
                         .orElse(newest);
             }
             assertEquals(newest, queue.newest(), title);
-            int lot = random.nextInt(6);
+            int lane = random.nextInt(6);
             assertEquals(
-                    plain.stream().filter(w -> w.wanted == lot).findFirst().orElse(null),
-                    queue.oldest(lot, w -> true),
+                    plain.stream().filter(w -> w.lane == lane).findFirst().orElse(null),
+                    queue.oldest(lane, w -> true),
                     title);
         }
         queue.forEach(queue::remove);
         assertEquals(0, queue.size());
     }
 
-    /** By brute force over all windows that begin with something spent. */
+    /** Checks all windows that begin with a spending by brute force. */
     @Test
     void budgetHoldsInEveryWindow() {
         for (long seed = 1; seed <= 20; seed++) {
@@ -88,17 +88,17 @@
     }
 
     @Test
-    void tallyCountsByName() {
-        CounterMap tally = new CounterMap();
-        assertEquals(1, tally.add("a", 1));
-        assertEquals(2, tally.add("a", 1));
-        assertEquals(0, tally.of("b"));
-        assertEquals(0, tally.add("a", -2));
-        assertEquals(0, tally.of("a"));
+    void countersCountByName() {
+        CounterMap counters = new CounterMap();
+        assertEquals(1, counters.add("a", 1));
+        assertEquals(2, counters.add("a", 1));
+        assertEquals(0, counters.get("b"));
+        assertEquals(0, counters.add("a", -2));
+        assertEquals(0, counters.get("a"));
     }
 
     @Test
-    void whoeverSpendsMoreThanItsShareIsBeyond() {
+    void spendingMoreThanTheShareIsBeyondIt() {
         WeightedAccounts shares = new WeightedAccounts(List.of(3.0, 1.0), 5);
         int beyond = 0;
         for (int i = 0; i < 1_000; i++) {
@@ -108,7 +108,7 @@
         for (int i = 0; i < 1_000; i++) {
             beyond += shares.spend(1) ? 1 : 0;
         }
-        // All but what it was ahead: who goes on past its share falls ever further behind.
+        // All but its credit: an account that keeps spending past its share stays in debt.
         assertTrue(beyond > 985 && beyond < 1_000, "beyond " + beyond);
         assertEquals(false, shares.spend(0));
         assertEquals(false, new WeightedAccounts(List.of(), 5).spend(0));
--- a/src/test/java/org/cypressweir/loadbalancing/SubsetLoadBalancerTest.java
+++ b/src/test/java/org/cypressweir/loadbalancing/SubsetLoadBalancerTest.java
@@ -32,7 +32,7 @@
 
     @ParameterizedTest
     @EnumSource(value = Result.class, mode = EnumSource.Mode.EXCLUDE, names = "SERVED")
-    void unsafeGoesOutAgainOnlyAfterProof(Result result) {
+    void unsafeRequestIsRetriedOnlyIfItProvablyDidNotRun(Result result) {
         LoadBalancerRecorder r = new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.UNSAFE, Group.ALL), 6);
         r.request("x");
         r.answer(0, result, 1000, false);
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void keyedStaysInItsGroupAndWindow() {
+    void keyedRequestIsRetriedOnlyInItsDedupScopeAndWindow() {
         for (int seed = 0; seed < 20; seed++) {
             LoadBalancerRecorder r =
                     new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.KEYED, Group.ZONE), 8);
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void nothingNewToADrainingServer() {
+    void drainingServerGetsNoNewRequests() {
         LoadBalancerRecorder r = new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.SAFE, Group.ALL), 4);
         Server drained = new Server(1, 0, 0, 0, Phase.DRAINING, 0, 1);
         r.choice.servers(r.now, ListKind.CHANGES, List.of(drained));
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void pastTheMostInHandTheOldestHeldIsRefused() {
+    void oldestQueuedIsRefusedPastTheLimitOfOpenRequests() {
         Settings one = LoadBalancerRecorder.settings(Effect.UNSAFE, Group.ALL);
         Settings alike = new Settings(
                 one.seed(),
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void heldRequestIsRefusedBeforeTheClientGivesUp() {
+    void queuedRequestIsRefusedBeforeTheClientGivesUp() {
         LoadBalancerRecorder r = new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.UNSAFE, Group.ALL), 0);
         r.request("x");
         while (r.refused.isEmpty()) {
@@ -115,7 +115,7 @@
         assertEquals(1, r.refused.size());
     }
 
-    /** Incident i0f9bed: an arrival whose time is already up was held for a probe and got no answer. */
+    /** Incident i0f9bed: a request that arrived at its deadline was delayed for a probe and got no answer. */
     @Test
     void arrivalAtItsDeadlineIsAnsweredAtOnce() {
         LoadBalancerRecorder r = new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.SAFE, Group.ALL), 4);
@@ -124,28 +124,28 @@
         assertTrue(r.sent.isEmpty());
     }
 
-    /** What a server carries beside requests counts as requests in flight do. */
+    /** The load of a server beside requests counts like requests in flight. */
     @Test
-    void aBurdenedServerIsSentLess() {
+    void serverWithExternalLoadGetsFewerRequests() {
         LoadBalancerRecorder r = new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.SAFE, Group.ALL), 2);
         r.choice.burden(r.now, 1, 5, false);
         for (int i = 0; i < 200; i++) {
             r.request("r" + i);
             r.answer(0, Result.SERVED, 2000, true);
         }
-        long burdened = r.sent.stream().filter(s -> s.server() == 1).count();
-        assertTrue(burdened < 20, "sent " + burdened + " of 200");
+        long loaded = r.sent.stream().filter(s -> s.server() == 1).count();
+        assertTrue(loaded < 20, "sent " + loaded + " of 200");
         r.choice.burden(r.now, 1, 0, false);
         for (int i = 200; i < 400; i++) {
             r.request("r" + i);
             r.answer(0, Result.SERVED, 2000, true);
         }
-        assertTrue(r.sent.stream().filter(s -> s.server() == 1).count() > burdened + 20);
+        assertTrue(r.sent.stream().filter(s -> s.server() == 1).count() > loaded + 20);
     }
 
-    /** Incidents i6f3083 and i5bba91: deep queues from the first second turned the servers slow for good. */
+    /** Incidents i6f3083 and i5bba91: long queues from the first second on made the servers slow permanently. */
     @Test
-    void unansweredServersAreNotFilled() {
+    void queuesStayShortBeforeTheFirstAnswers() {
         LoadBalancerRecorder r = new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.UNSAFE, Group.ALL), 4);
         for (int i = 0; i < 100; i++) {
             r.request("r" + i);
@@ -153,9 +153,9 @@
         assertEquals(12, r.sent.size());
     }
 
-    /** Incident i80c828: one request from each of many sidecars kept crowded servers slow for good. */
+    /** Incident i80c828: one request from each of many sidecars kept overloaded servers slow permanently. */
     @Test
-    void crowdedServersAreLeftAloneForAWhile() {
+    void overloadedServersGetPausesBetweenRequests() {
         LoadBalancerRecorder r = new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.UNSAFE, Group.ALL), 3);
         int sent = 0;
         r.request("slow0");
@@ -164,19 +164,19 @@
             r.answer(0, Result.SERVED, 190_000, true);
             r.request("slow" + sent);
         }
-        assertTrue(sent >= 2 && sent < 40, sent + " slow answers, and no rest");
+        assertTrue(sent >= 2 && sent < 40, sent + " slow answers without a pause");
         r.now += 900_000;
         r.choice.servers(r.now, ListKind.CHANGES, List.of());
-        assertTrue(r.sent.size() > sent, "still at rest");
+        assertTrue(r.sent.size() > sent, "still paused");
     }
 
     @Test
-    void coldServerGetsItsColdShareOfWhatAWarmOneIsSent() {
+    void coldServerGetsItsSlowStartShare() {
         LoadBalancerRecorder r = new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.SAFE, Group.ALL), 4);
         long warm = sentToFirst(r, "warm", 200);
         r.choice.servers(r.now, ListKind.CHANGES, List.of(LoadBalancerRecorder.server(1, 0, r.now)));
         long cold = sentToFirst(r, "cold", 200);
-        // It starts at a fifth and has grown to a third by the end of these 2 s.
+        // The share starts at a fifth and has grown to a third by the end of these 2 s.
         assertTrue(cold > 0 && cold <= 0.45 * warm, cold + " while cold, " + warm + " while warm");
     }
 
@@ -190,18 +190,18 @@
     }
 
     /**
-     * What is usual was learned as a multiple of what was usual when a request was sent, so with many in
-     * flight each answer counted the change that those before it had made once more: it swung between a third
-     * and five times the truth. Seen here by when a held request is given up: an aim less what is usual after
-     * it came.
+     * The typical latency was learned relative to its value at the time of sending. With many requests in flight each
+     * answer then repeated the changes by the answers before it, and the value swung between a third and five times
+     * the true one. It shows in the time at which a queued request is refused: the latency target less the typical
+     * latency after its arrival.
      */
     @ParameterizedTest
     @ValueSource(ints = {1, 8, 64})
-    void whatIsUsualIsLearnedAlikeHoweverManyAreInFlight(int flight) {
+    void typicalLatencyDoesNotDependOnRequestsInFlight(int requestsInFlight) {
         LoadBalancerRecorder r = new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.SAFE, Group.ALL), 120);
-        for (int wave = 0; wave < 1 + 400 / flight; wave++) {
+        for (int wave = 0; wave < 1 + 400 / requestsInFlight; wave++) {
             int first = r.sent.size();
-            for (int i = 0; i < flight; i++) {
+            for (int i = 0; i < requestsInFlight; i++) {
                 r.request("u" + wave + "-" + i);
             }
             r.now += 90_000;
@@ -212,14 +212,14 @@
         r.choice.servers(r.now, ListKind.COMPLETE, List.of());
         r.timers.clear();
         r.request("held");
-        double usual =
+        double typicalMicros =
                 r.now + 200_000 - r.timers.stream().mapToLong(t -> t[0]).max().orElseThrow();
-        assertEquals(90_000, usual, 10_000);
+        assertEquals(90_000, typicalMicros, 10_000);
     }
 
-    /** Held to their end, requests kept the connections that clients needed for those still in time. */
+    /** Requests queued up to their deadline kept connections that clients needed for requests still in time. */
     @Test
-    void whereManyAreInHandTheHeldAreRefusedBeforeHalfOfTheirTime() {
+    void underHighLoadQueuedRequestsAreRefusedBeforeHalfOfTheirTime() {
         Settings s = LoadBalancerRecorder.settings(Effect.UNSAFE, Group.ALL);
         LoadBalancerRecorder r = new LoadBalancerRecorder(
                 new Settings(
@@ -237,7 +237,7 @@
                         s.rules(),
                         s.reports(),
                         s.discoveryOnAsk(),
-                        s.warmKeys(),
+                        s.keyAffinity(),
                         s.tickMicros()),
                 4);
         long arrived = r.now;
@@ -250,29 +250,29 @@
         assertTrue(r.refused.size() >= 50, r.refused.size() + " refused");
     }
 
-    /** A spoilt answer or a reset now and then made every server look as if it had just started. */
+    /** An occasional broken response or connection reset made every server look as if it had just restarted. */
     @Test
-    void oneBrokenConnectionIsNoRestart() {
+    void oneBrokenConnectionIsNotTakenForARestart() {
         LoadBalancerRecorder r = new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.SAFE, Group.ALL), 4);
         long before = sentToFirst(r, "before", 200);
-        boolean broke = false;
-        for (int i = 0; i < 100 && !broke; i++) {
+        boolean broken = false;
+        for (int i = 0; i < 100 && !broken; i++) {
             r.request("x" + i);
-            broke = r.sent.get(r.sent.size() - 1).server() == 1;
-            r.answer(0, broke ? Result.BROKEN : Result.SERVED, 10_000, true);
+            broken = r.sent.get(r.sent.size() - 1).server() == 1;
+            r.answer(0, broken ? Result.BROKEN : Result.SERVED, 10_000, true);
         }
-        assertTrue(broke);
+        assertTrue(broken);
         r.now += 20_000_000;
         long after = sentToFirst(r, "after", 200);
         assertTrue(after >= 0.6 * before, after + " after it, " + before + " before");
     }
 
-    /** After a start the first answers are slow for other reasons; idle servers were sent next to nothing. */
+    /** After a start the first answers are slow for other reasons; idle servers then got hardly any requests. */
     @ParameterizedTest
     @CsvSource({"0.1, true", "0.9, false"})
-    void slowAnswersCutTheLimitOfBusyServersOnly(double use, boolean kept) {
-        LoadBalancerRecorder r = reporting(3, 4);
-        LoadReport report = use(use);
+    void slowAnswersCutTheLimitOfBusyServersOnly(double utilization, boolean limitKept) {
+        LoadBalancerRecorder r = reportingFleet(3, 4);
+        LoadReport report = report(utilization);
         for (int i = 0; i < 40; i++) {
             r.request("a" + i);
             LoadBalancerRecorder.Sent last = r.sent.get(r.sent.size() - 1);
@@ -284,29 +284,29 @@
         for (int i = 0; i < 100; i++) {
             r.request("b" + i);
         }
-        assertEquals(kept, r.sent.size() - before >= 12);
+        assertEquals(limitKept, r.sent.size() - before >= 12);
     }
 
     /**
-     * A server that many sidecars have filled still answers each of them well inside its aim now and then;
-     * each grew its limit by that, and the sum over them kept every server of a fleet that had lost a zone
-     * at twice what it can hold.
+     * A server that many sidecars have filled still meets the latency target of each from time to time. Each sidecar
+     * raised its limit after such answers, and together they kept every server of a fleet that had lost a zone at
+     * twice its capacity.
      */
     @ParameterizedTest
     @CsvSource({"14, 0.7, true", "14, 0.97, false", "3, 0.97, true"})
-    void limitsOfManyGrowOnlyWhileServersHaveSomethingLeft(int sidecars, double use, boolean grows) {
-        LoadBalancerRecorder r = reporting(sidecars, 16);
+    void limitsOfManyInstancesGrowOnlyBelowFullUtilization(int sidecars, double use, boolean grows) {
+        LoadBalancerRecorder r = reportingFleet(sidecars, 16);
         for (int wave = 0; wave < 30; wave++) {
             int first = r.sent.size();
             for (int i = 0; i < 40; i++) {
                 r.request("g" + wave + "-" + i);
             }
             r.now += 50_000;
-            // What was held goes out as others are answered, and is answered too.
+            // Queued requests are sent as others are answered, and are answered too.
             for (int i = first; i < r.sent.size(); i++) {
                 LoadBalancerRecorder.Sent sent = r.sent.get(i);
                 r.choice.outcome(
-                        r.now, new Outcome(sent.request(), 0, sent.server(), Result.SERVED, 50_000, true, use(use)));
+                        r.now, new Outcome(sent.request(), 0, sent.server(), Result.SERVED, 50_000, true, report(use)));
             }
         }
         int before = r.sent.size();
@@ -317,8 +317,8 @@
         assertEquals(grows, out > 60, out + " out at 16 servers whose first limit is 3");
     }
 
-    /** A sidecar of a fleet whose answers tell the load. */
-    private static LoadBalancerRecorder reporting(int sidecars, int servers) {
+    /** A sidecar of a fleet whose servers report their load in responses. */
+    private static LoadBalancerRecorder reportingFleet(int sidecars, int servers) {
         Settings s = LoadBalancerRecorder.settings(Effect.UNSAFE, Group.ALL);
         return new LoadBalancerRecorder(
                 new Settings(
@@ -335,52 +335,52 @@
                         s.rules(),
                         ReportSource.ANSWERS,
                         s.discoveryOnAsk(),
-                        s.warmKeys(),
+                        s.keyAffinity(),
                         s.tickMicros()),
                 servers);
     }
 
-    private static LoadReport use(double use) {
-        return new LoadReport(Double.NaN, Double.NaN, use, Double.NaN, Double.NaN, Double.NaN);
+    private static LoadReport report(double utilization) {
+        return new LoadReport(Double.NaN, Double.NaN, utilization, Double.NaN, Double.NaN, Double.NaN);
     }
 
     @Test
     void hangingServerLosesItsTraffic() {
         LoadBalancerRecorder r = new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.UNSAFE, Group.ALL), 4);
-        int hung = 0;
+        int sentToHanging = 0;
         for (int i = 0; i < 300; i++) {
             r.request("r" + i);
             if (r.sent.get(r.sent.size() - 1).server() == 2) {
-                hung++;
+                sentToHanging++;
                 r.now += 20_000;
             } else {
                 r.answer(0, Result.SERVED, 20_000, true);
             }
         }
-        assertTrue(hung <= 8, "sent " + hung + " to a server that answers nothing");
+        assertTrue(sentToHanging <= 8, "sent " + sentToHanging + " to a server that answers nothing");
     }
 
     @Test
     void fastFailuresDoNotAttractTraffic() {
         LoadBalancerRecorder r = new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.UNSAFE, Group.ALL), 4);
-        int failing = sentToOneThatErrs(r, 300, 0, 500, 0);
+        int failing = sentToFailing(r, 300, 0, 500, 0);
         assertTrue(failing > 0 && failing <= 20, "sent " + failing + " to a server that only fails");
     }
 
     /**
-     * A sidecar that meets a server seldom finds its connection idle each time. An error is an answer on it
-     * all the same: three in a row are an outlier, however far apart.
+     * A sidecar that seldom calls a server finds the connection idle each time. An error is still an answer on that
+     * connection: three in a row make the server an outlier, however far apart they are.
      */
     @Test
-    void errorsAfterIdleSpellsCount() {
+    void errorsAfterIdlePeriodsCount() {
         LoadBalancerRecorder r = new LoadBalancerRecorder(LoadBalancerRecorder.settings(Effect.UNSAFE, Group.ALL), 6);
-        int failing = sentToOneThatErrs(r, 600, 60, 20_000, 60_000);
+        int failing = sentToFailing(r, 600, 60, 20_000, 60_000);
         assertTrue(r.actions.contains("log server 3 ejected: ERROR"), failing + " sent to it: " + r.actions);
         assertTrue(failing <= 25, "sent " + failing + " to a server that only fails");
     }
 
-    /** Requests one after the other, with pauses; from one of them on a server answers with errors alone. */
-    private static int sentToOneThatErrs(LoadBalancerRecorder r, int requests, int from, long errorMicros, long pause) {
+    /** Sends requests one by one, with pauses; from one of them on, server 3 answers with errors only. */
+    private static int sentToFailing(LoadBalancerRecorder r, int requests, int from, long errorMicros, long pause) {
         int failing = 0;
         for (int i = 0; i < requests; i++) {
             r.request("r" + i);
@@ -393,7 +393,7 @@
     }
 
     @Test
-    void impossibleSettingsAreNamed() {
+    void invalidSettingsAreNamedInTheError() {
         Settings s = LoadBalancerRecorder.settings(Effect.SAFE, Group.ALL);
         String message = assertThrows(
                         IllegalArgumentException.class,
@@ -417,7 +417,7 @@
         assertTrue(message.contains("classes"), message);
     }
 
-    /** A random run of legal events: one final answer each, nothing after it, effects and drains kept. */
+    /** Random valid events: one final answer per request, no action after it, effects and drains respected. */
     @ParameterizedTest
     @EnumSource(Effect.class)
     void randomEventsKeepTheRules(Effect effect) {
@@ -425,7 +425,7 @@
         LoadBalancerRecorder r = new LoadBalancerRecorder(LoadBalancerRecorder.settings(effect, Group.ZONE), 7);
         Map<String, Integer> attempts = new HashMap<>();
         Map<String, Boolean> mayHaveRun = new HashMap<>();
-        Map<String, Boolean> over = new HashMap<>();
+        Map<String, Boolean> ended = new HashMap<>();
         Map<Long, Boolean> draining = new HashMap<>();
         int seen = 0;
         Result[] results = Result.values();
@@ -435,17 +435,17 @@
             r.now += random.nextInt(4000);
             if (random.nextInt(3) == 0) {
                 String id = "q" + step;
-                over.put(id, false);
+                ended.put(id, false);
                 r.request(id);
             } else if (!out.isEmpty() && random.nextInt(3) > 0) {
                 Out o = out.remove(random.nextInt(out.size()));
                 boolean served = random.nextInt(4) > 0;
                 Result result = served ? Result.SERVED : results[random.nextInt(results.length)];
-                boolean closed = over.get(o.request) || result == Result.SERVED;
+                boolean closed = ended.get(o.request) || result == Result.SERVED;
                 if (!result.provesNotRun) {
                     mayHaveRun.put(o.request, true);
                 }
-                over.put(o.request, closed);
+                ended.put(o.request, closed);
                 r.choice.outcome(
                         r.now, new Outcome(o.request, o.attempt, o.server, result, r.now - o.at, closed, null));
             } else if (random.nextInt(40) == 0) {
@@ -467,7 +467,7 @@
             for (; seen < r.actions.size(); seen++) {
                 String[] a = r.actions.get(seen).split(" ");
                 if (a[0].equals("send")) {
-                    assertFalse(over.get(a[1]), "sent after the end");
+                    assertFalse(ended.get(a[1]), "sent after the end");
                     assertFalse(draining.getOrDefault(Long.parseLong(a[2]), false), "sent to a draining server");
                     assertTrue(effect != Effect.UNSAFE || !mayHaveRun.getOrDefault(a[1], false), "sent twice");
                     int n = attempts.merge(a[1], 1, Integer::sum) - 1;
@@ -475,7 +475,7 @@
                     assertTrue(effect == Effect.SAFE || out.stream().noneMatch(o -> o.request.equals(a[1])));
                     out.add(new Out(a[1], n, Long.parseLong(a[2]), r.now));
                 } else if (a[0].equals("refuse") || a[0].equals("fail")) {
-                    assertFalse(over.put(a[1], true), "a second final answer");
+                    assertFalse(ended.put(a[1], true), "a second final answer");
                     assertTrue(
                             a[0].equals("fail") || effect == Effect.SAFE || !mayHaveRun.getOrDefault(a[1], false),
                             "refused what may have run");
--- a/src/test/java/org/cypressweir/loadbalancing/SubsetTreeTest.java
+++ b/src/test/java/org/cypressweir/loadbalancing/SubsetTreeTest.java
@@ -13,21 +13,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The subset tree against plain matching: whatever changes, a node has who carries its labels. */
+/** Compares the subset tree with plain matching: after any change a node holds the members with its labels. */
 class SubsetTreeTest {
 
     private static final class Host extends SubsetTree.Member {
-        private final int[] wanted;
-        private boolean in;
-        private boolean sick;
+        private final int[] labels;
+        private boolean inTree;
+        private boolean marked;
 
-        Host(int[] wanted) {
-            this.wanted = wanted;
+        Host(int[] labels) {
+            this.labels = labels;
         }
 
-        boolean carries(int[] values) {
+        boolean matches(int[] values) {
             for (int k = 0; k < values.length; k++) {
-                if (values[k] != SubsetTree.ANY && values[k] != wanted[k]) {
+                if (values[k] != SubsetTree.ANY && values[k] != labels[k]) {
                     return false;
                 }
             }
@@ -54,35 +54,35 @@
             int what = random.nextInt(round % 1_000 == 999 ? 4 : 3);
             if (what == 3) {
                 tree.clear();
-                hosts.forEach(h -> h.in = false);
+                hosts.forEach(h -> h.inTree = false);
             } else if (what == 2) {
-                host.sick = !host.sick;
-                tree.mark(host, host.sick);
-            } else if (host.in) {
+                host.marked = !host.marked;
+                tree.mark(host, host.marked);
+            } else if (host.inTree) {
                 tree.remove(host);
-                host.in = false;
+                host.inTree = false;
             } else {
-                // Places that many share: ids may collide after hashing.
-                tree.add(host, random.nextInt(5), host.wanted);
-                host.in = true;
+                // Positions shared by many: hashes of ids may collide.
+                tree.add(host, random.nextInt(5), host.labels);
+                host.inTree = true;
             }
             int[] values = labels(random, keys, 4);
             IndexedMembers<Host> node = tree.node(values);
             Set<Host> actual = new HashSet<>();
             for (int i = 0; i < node.size(); i++) {
                 assertTrue(actual.add(node.get(i)), "seed " + seed + ": twice in a node");
-                assertTrue(i == 0 || node.get(i - 1).place <= node.get(i).place, "seed " + seed + ": order");
+                assertTrue(i == 0 || node.get(i - 1).position <= node.get(i).position, "seed " + seed + ": order");
             }
             Set<Host> expected = new HashSet<>(hosts);
-            expected.removeIf(h -> !h.in || !h.carries(values));
+            expected.removeIf(h -> !h.inTree || !h.matches(values));
             assertEquals(expected, actual, "seed " + seed + ", round " + round);
-            assertEquals(expected.stream().filter(h -> h.sick).count(), node.marked(), "seed " + seed);
-            assertEquals(hosts.stream().filter(h -> h.in).count(), tree.size());
+            assertEquals(expected.stream().filter(h -> h.marked).count(), node.markedCount(), "seed " + seed);
+            assertEquals(hosts.stream().filter(h -> h.inTree).count(), tree.size());
         }
     }
 
     @Test
-    void markedOnesComeInTurn() {
+    void markedMembersComeRoundRobin() {
         SubsetTree<Host> tree = new SubsetTree<>(1);
         List<Host> hosts = new ArrayList<>();
         for (int i = 0; i < 9; i++) {
@@ -99,21 +99,21 @@
     }
 
     @Test
-    void theRingBeginsAtAnyPlace() {
+    void ringWalkBeginsAtAnyPosition() {
         SubsetTree<Host> tree = new SubsetTree<>(1);
         for (int i = 0; i < 5; i++) {
             tree.add(new Host(new int[] {0}), 10 * i, 0);
         }
         IndexedMembers<Host> node = tree.node(SubsetTree.ANY);
-        assertEquals(0, node.from(-1));
-        assertEquals(2, node.from(11));
-        assertEquals(2, node.from(20));
-        assertEquals(0, node.from(41));
+        assertEquals(0, node.indexFrom(-1));
+        assertEquals(2, node.indexFrom(11));
+        assertEquals(2, node.indexFrom(20));
+        assertEquals(0, node.indexFrom(41));
     }
 
-    /** One cell more takes about its own part of the servers, and nothing moves between the others. */
+    /** One more cell takes about its even part of the servers, and none move between the other cells. */
     @Test
-    void anotherCountOfCellsMovesFew() {
+    void oneMoreCellMovesFewServers() {
         int servers = 20_000;
         for (int cells : new int[] {10, 100, 400}) {
             int moved = 0;
